--- a/entry/limit/budget.go
+++ b/entry/limit/budget.go
@@ -4,14 +4,14 @@
 
 // Constants of a budget.
 const (
-	unit      = 1 << 20 // of one event
-	maxSaved  = 10      // events that may be saved up
-	firstSave = 3       // events that a new budget has
+	unit         = 1 << 20 // fixed-point representation of one event
+	maxSaved     = 10      // maximum balance, in events
+	initialSaved = 3       // events that a new budget has
 )
 
-// Budget lets a share of events have a further one, such as retries. Each host
-// earns from its own requests only, so the share holds over all hosts without
-// a word between them.
+// Budget allows additional events, such as retries, as a share of regular ones. A
+// host earns only from its own requests, so the share holds across all hosts
+// without coordination.
 type Budget struct {
 	saved atomic.Int64
 	ready atomic.Bool
@@ -39,7 +39,7 @@
 
 func (b *Budget) start() {
 	if !b.ready.Load() && b.ready.CompareAndSwap(false, true) {
-		b.add(firstSave * unit)
+		b.add(initialSaved * unit)
 	}
 }
 
--- a/entry/limit/callers.go
+++ b/entry/limit/callers.go
@@ -6,24 +6,24 @@
 	"sync/atomic"
 )
 
-// MaxCallers is how many callers are remembered at once.
+// MaxCallers is the number of callers that a host tracks at the same time.
 const MaxCallers = 16384
 
-// shards spreads callers over locks.
+// shards is the number of shards, each with its own lock.
 const shards = 16
 
-// Caller is what one caller has in flight, and its rate.
+// Caller tracks the requests in flight and the rate of one caller.
 type Caller struct {
 	inFlight atomic.Int32
 	rate     Rate
 	usedAt   atomic.Int64
 }
 
-// TryAcquire counts a request unless the caller has as many in flight already.
-func (c *Caller) TryAcquire(most int) bool {
+// TryAcquire counts a request as in flight unless the caller has reached the limit.
+func (c *Caller) TryAcquire(limit int) bool {
 	for {
 		n := c.inFlight.Load()
-		if int(n) >= most {
+		if int(n) >= limit {
 			return false
 		}
 		if c.inFlight.CompareAndSwap(n, n+1) {
@@ -32,21 +32,21 @@
 	}
 }
 
-// Release ends a request.
+// Release ends a request that TryAcquire counted.
 func (c *Caller) Release() { c.inFlight.Add(-1) }
 
 // InFlight returns the caller's requests in flight.
 func (c *Caller) InFlight() int { return int(c.inFlight.Load()) }
 
-// Rate returns the caller's rate.
+// Rate returns the caller's rate limiter.
 func (c *Caller) Rate() *Rate { return &c.rate }
 
-// Callers remembers a bounded number of callers by key. Those with nothing in
-// flight that were idle longest are forgotten first.
+// Callers tracks a bounded number of callers by key. To make room it evicts callers
+// without requests in flight, by approximate least recent use.
 type Callers[K comparable] struct {
-	seed   maphash.Seed
-	most   int // in each shard
-	shards [shards]shard[K]
+	seed        maphash.Seed
+	maxPerShard int
+	shards      [shards]shard[K]
 }
 
 type shard[K comparable] struct {
@@ -54,24 +54,24 @@
 	all map[K]*Caller
 }
 
-// NewCallers returns a table of up to most callers.
-func NewCallers[K comparable](most int) *Callers[K] {
-	t := &Callers[K]{seed: maphash.MakeSeed(), most: max(most/shards, 1)}
+// NewCallers returns a table of up to limit callers.
+func NewCallers[K comparable](limit int) *Callers[K] {
+	t := &Callers[K]{seed: maphash.MakeSeed(), maxPerShard: max(limit/shards, 1)}
 	for n := range t.shards {
 		t.shards[n].all = map[K]*Caller{}
 	}
 	return t
 }
 
-// Get returns a caller.
+// Get returns the caller with the key and adds it if it is not tracked.
 func (t *Callers[K]) Get(key K, now int64) *Caller {
 	s := &t.shards[maphash.Comparable(t.seed, key)%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.all[key]
 	if c == nil {
-		if len(s.all) >= t.most {
-			s.forget()
+		if len(s.all) >= t.maxPerShard {
+			s.evict()
 		}
 		c = &Caller{}
 		s.all[key] = c
@@ -80,7 +80,7 @@
 	return c
 }
 
-// Len returns how many callers are remembered.
+// Len returns the number of tracked callers.
 func (t *Callers[K]) Len() int {
 	n := 0
 	for i := range t.shards {
@@ -91,14 +91,14 @@
 	return n
 }
 
-// sampled is how many callers are looked at to find one to forget.
-const sampled = 8
+// evictionSample is the number of idle callers that an eviction considers.
+const evictionSample = 8
 
-// forget drops the longest idle of a few callers that have nothing in flight.
-func (s *shard[K]) forget() {
+// evict removes the least recently used of a few callers without requests in flight.
+func (s *shard[K]) evict() {
 	var victim K
 	var oldest *Caller
-	seen := 0
+	considered := 0
 	for key, c := range s.all {
 		if c.InFlight() > 0 {
 			continue
@@ -106,7 +106,7 @@
 		if oldest == nil || c.usedAt.Load() < oldest.usedAt.Load() {
 			victim, oldest = key, c
 		}
-		if seen++; seen == sampled {
+		if considered++; considered == evictionSample {
 			break
 		}
 	}
--- a/entry/limit/limit_test.go
+++ b/entry/limit/limit_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-func TestRateHoldsOverAnyInterval(t *testing.T) {
+func TestRateIsBoundedOverAnyInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
 		burst := float64(rapid.IntRange(1, 20).Draw(t, "burst"))
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestCallersAreForgottenButNeverWhileInFlight(t *testing.T) {
+func TestCallersAreEvictedButNeverWhileInFlight(t *testing.T) {
 	callers := limit.NewCallers[string](160)
 	busy := callers.Get("busy", 0)
 	must.True(t, busy.TryAcquire(1))
--- a/entry/route/admission.go
+++ b/entry/route/admission.go
@@ -8,32 +8,32 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// burstSeconds is the burst of a rate, as the time in which it would be earned.
+// burstSeconds is the burst of a rate limit, in seconds at that rate.
 const burstSeconds = 0.1
 
-// admission holds a service's limits at this host: its rate and requests in
-// flight, those of each caller, and its retries.
-type admission struct {
-	inFlight atomic.Int32
-	rate     limit.Rate
-	retries  limit.Budget
-	extra    limit.Rate // retries beside the budget
-	callers  *limit.Callers[callerKey]
+// limiter enforces a service's limits at this host: its rate and in-flight
+// requests, those of each caller, and its retries.
+type limiter struct {
+	inFlight  atomic.Int32
+	rate      limit.Rate
+	retries   limit.Budget
+	allowance limit.Rate // retries beyond the budget
+	callers   *limit.Callers[callerKey]
 }
 
-// callerKey names a caller under the whole service, or under one rule's
-// contract.
+// callerKey identifies a caller under the whole service (nil contract) or under
+// one rule's contract.
 type callerKey struct {
 	contract *contract.Contract
 	caller   string
 }
 
-// pass is what an admitted request holds until it ends.
-type pass struct {
+// permit holds the in-flight slots of an admitted request until it ends.
+type permit struct {
 	callers [2]*limit.Caller
 }
 
-func (p *pass) leave() {
+func (p *permit) release() {
 	for n, c := range p.callers {
 		if c != nil {
 			c.Release()
@@ -42,89 +42,89 @@
 	}
 }
 
-// limited reports whether any limit applies to a request.
-func limited(q *Query, terms *contract.Service) bool {
+// hasLimits reports whether any limit applies to a request.
+func hasLimits(q *Query, terms *contract.Service) bool {
 	if terms.InFlight() > 0 || terms.Rate() > 0 || terms.CallerInFlight() > 0 || terms.CallerRate() > 0 {
 		return true
 	}
 	return q.contract != nil && (q.contract.CallerInFlight() > 0 || q.contract.CallerRate() > 0)
 }
 
-func newAdmission() *admission {
-	return &admission{callers: limit.NewCallers[callerKey](limit.MaxCallers)}
+func newLimiter() *limiter {
+	return &limiter{callers: limit.NewCallers[callerKey](limit.MaxCallers)}
 }
 
-// admit takes a request if it keeps to the limits. share is this host's part
-// of limits that hold for all hosts together.
-func (a *admission) admit(q *Query, terms *contract.Service, share float64, now int64) (pass, error) {
-	var p pass
-	if r := terms.Rate() * share; r > 0 && !a.rate.Allow(now, r, r*burstSeconds) {
-		return p, outcome.New(outcome.NotRun, outcome.Overload, "the rate of "+q.service+" is above its limit")
+// admit admits a request if it is within the limits. share is this host's share
+// of fleet-wide limits.
+func (l *limiter) admit(q *Query, terms *contract.Service, share float64, now int64) (permit, error) {
+	var p permit
+	if r := terms.Rate() * share; r > 0 && !l.rate.Allow(now, r, r*burstSeconds) {
+		return p, outcome.New(outcome.NotRun, outcome.Overload, "the rate limit of "+q.service+" is exceeded")
 	}
-	if problem := a.enter(&p.callers[0], callerKey{caller: q.caller}, terms.CallerInFlight(), terms.CallerRate(), share, now); problem != nil {
+	if problem := l.acquireCaller(&p.callers[0], callerKey{caller: q.caller}, terms.CallerInFlight(), terms.CallerRate(), share, now); problem != nil {
 		return p, problem
 	}
-	if problem := a.enterRule(&p, q, share, now); problem != nil {
-		p.leave()
+	if problem := l.acquireRule(&p, q, share, now); problem != nil {
+		p.release()
 		return p, problem
 	}
 	if !q.Retry() {
-		a.retries.Earn(terms.RetryBudget())
+		l.retries.Earn(terms.RetryBudget())
 	}
 	return p, nil
 }
 
-// enterRule applies the limits of the rule that matched.
-func (a *admission) enterRule(p *pass, q *Query, share float64, now int64) error {
+// acquireRule applies the limits of the matching rule.
+func (l *limiter) acquireRule(p *permit, q *Query, share float64, now int64) error {
 	if q.contract == nil {
 		return nil
 	}
 	key := callerKey{contract: q.contract, caller: q.caller}
-	return a.enter(&p.callers[1], key, q.contract.CallerInFlight(), q.contract.CallerRate(), share, now)
+	return l.acquireCaller(&p.callers[1], key, q.contract.CallerInFlight(), q.contract.CallerRate(), share, now)
 }
 
-func (a *admission) enter(held **limit.Caller, key callerKey, most int, rate, share float64, now int64) error {
-	if most == 0 && rate == 0 {
+func (l *limiter) acquireCaller(slot **limit.Caller, key callerKey, maxInFlight int, rate, share float64, now int64) error {
+	if maxInFlight == 0 && rate == 0 {
 		return nil
 	}
-	c := a.callers.Get(key, now)
+	c := l.callers.Get(key, now)
 	if r := rate * share; r > 0 && !c.Rate().Allow(now, r, r*burstSeconds) {
-		return outcome.New(outcome.NotRun, outcome.CallerLimit, "the caller's rate is above its limit")
+		return outcome.New(outcome.NotRun, outcome.CallerLimit, "the caller's rate limit is exceeded")
 	}
-	if most == 0 {
+	if maxInFlight == 0 {
 		return nil
 	}
-	if !c.TryAcquire(max(int(float64(most)*share), 1)) {
-		return outcome.New(outcome.NotRun, outcome.CallerLimit, "the caller has as many requests in flight as it may")
+	if !c.TryAcquire(max(int(float64(maxInFlight)*share), 1)) {
+		return outcome.New(outcome.NotRun, outcome.CallerLimit, "the caller's in-flight limit is reached")
 	}
-	*held = c
+	*slot = c
 	return nil
 }
 
-// Parts of the allowance of retries that this host uses in a window. What is
-// left is for hosts that took over from one another within it, and for those
-// that callers are not told of.
+// Shares of the retry allowance that this host may use as a burst and as refill
+// within a window. The rest is reserved for hosts that replace one another within
+// the window, and for hosts that callers cannot discover.
 const (
 	allowanceBurst  = 0.2
 	allowanceRefill = 0.3
 )
 
-// spendRetry takes one retry from the budget, or from this host's part of the
-// allowance.
+// spendRetry takes one retry from the retry budget, or else from this host's share
+// of the allowance.
 func (d *Dispatcher) spendRetry() bool {
 	if d.limits.retries.Spend() {
 		return true
 	}
 	n, window := d.router.terms(d.service).RetryAllowance()
-	part := float64(n) * d.router.share(d.service)
-	if part < 1/allowanceBurst {
+	hostAllowance := float64(n) * d.router.share(d.service)
+	if hostAllowance < 1/allowanceBurst {
 		return false
 	}
-	return d.limits.extra.Allow(d.router.clock(), allowanceRefill*part/window.Seconds(), allowanceBurst*part)
+	return d.limits.allowance.Allow(d.router.clock(), allowanceRefill*hostAllowance/window.Seconds(), allowanceBurst*hostAllowance)
 }
 
-// full reports whether the service has as many requests in flight as it may.
-func (a *admission) full(terms *contract.Service, share float64) bool {
-	most := terms.InFlight()
-	return most > 0 && int(a.inFlight.Load()) >= max(int(float64(most)*share), 1)
+// full reports whether the service's in-flight limit is reached.
+func (l *limiter) full(terms *contract.Service, share float64) bool {
+	maxInFlight := terms.InFlight()
+	return maxInFlight > 0 && int(l.inFlight.Load()) >= max(int(float64(maxInFlight)*share), 1)
 }
--- a/entry/route/baseline.go
+++ b/entry/route/baseline.go
@@ -6,55 +6,56 @@
 	"github.com/snipebeam/snipebeam/world/contract"
 )
 
-// constant gives every member the same score.
-type constant struct{}
+// constantScore scores every member equally.
+type constantScore struct{}
 
-func (constant) Score(*Member, *Query, float64, float64, State, int64) (float64, bool) {
+func (constantScore) Score(*Member, *Query, float64, float64, State, int64) (float64, bool) {
 	return 0, true
 }
 
 // NewRandomChoice returns the policy "random".
 func NewRandomChoice() Policy {
-	return &LowestScore[constant]{name: contract.PolicyRandom, why: "drawn at random", sample: 1}
+	return &LowestScore[constantScore]{name: contract.PolicyRandom, reason: "selected at random", sample: 1}
 }
 
-// ownCount is this host's own requests in flight for each slot.
-type ownCount struct{}
+// localLoad scores a member by this host's in-flight requests per slot.
+type localLoad struct{}
 
-func (ownCount) Score(m *Member, _ *Query, _, _ float64, _ State, _ int64) (float64, bool) {
+func (localLoad) Score(m *Member, _ *Query, _, _ float64, _ State, _ int64) (float64, bool) {
 	return float64(m.load.InFlight()) / float64(m.instance.Slots()), true
 }
 
-// NewLeastLoaded returns the policy "least": the fewest of this host's own
-// requests in flight for each slot.
+// NewLeastLoaded returns the policy "least", which selects the member with the
+// fewest in-flight requests of this host per slot.
 func NewLeastLoaded() Policy {
-	return &LowestScore[ownCount]{name: contract.PolicyLeast, why: "fewest own requests in flight a slot"}
+	return &LowestScore[localLoad]{name: contract.PolicyLeast, reason: "fewest local requests in flight per slot"}
 }
 
-// NewPowerOfTwo returns the policy "powerOfTwo": the better of two random
-// members by this host's own count.
+// NewPowerOfTwo returns the policy "powerOfTwo", which selects the less loaded of
+// two random members by this host's in-flight requests.
 func NewPowerOfTwo() Policy {
-	return &LowestScore[ownCount]{name: contract.PolicyPowerOfTwo, why: "the less loaded of two drawn at random", sample: 2}
+	return &LowestScore[localLoad]{name: contract.PolicyPowerOfTwo, reason: "less loaded of two random instances", sample: 2}
 }
 
-// peakLatency is the peak-sensitive average latency times the own count.
-type peakLatency struct{}
+// peakEWMA scores a member by its peak-sensitive EWMA latency times this host's
+// in-flight requests.
+type peakEWMA struct{}
 
-func (peakLatency) Score(m *Member, _ *Query, norm, _ float64, _ State, _ int64) (float64, bool) {
+func (peakEWMA) Score(m *Member, _ *Query, serviceLatency, _ float64, _ State, _ int64) (float64, bool) {
 	latency := m.load.peak.get()
 	if latency == 0 {
-		latency = norm
+		latency = serviceLatency
 	}
 	return latency * float64(m.load.InFlight()+1), true
 }
 
-// NewPeakEWMA returns the policy "peakEWMA": the better of two random members
-// by peak-sensitive average latency times requests in flight.
+// NewPeakEWMA returns the policy "peakEWMA", which selects the better of two random
+// members by peak-sensitive EWMA latency times in-flight requests.
 func NewPeakEWMA() Policy {
-	return &LowestScore[peakLatency]{name: contract.PolicyPeakEWMA, why: "lower peak latency times own count, of two drawn at random", sample: 2}
+	return &LowestScore[peakEWMA]{name: contract.PolicyPeakEWMA, reason: "lower peak EWMA latency times local requests in flight, of two random instances", sample: 2}
 }
 
-// roundRobin takes the members in turn.
+// roundRobin cycles through the members.
 type roundRobin struct{ next atomic.Uint64 }
 
 // NewRoundRobin returns the policy "roundRobin".
@@ -63,10 +64,10 @@
 // Name returns the policy's name.
 func (*roundRobin) Name() string { return contract.PolicyRoundRobin }
 
-// Reason says what makes a member the chosen one.
-func (*roundRobin) Reason() string { return "next in turn" }
+// Reason returns a short description of how the member is selected.
+func (*roundRobin) Reason() string { return "next in rotation" }
 
-// Choose returns the next member that takes requests.
+// Choose returns the position of the next member that accepts requests.
 func (p *roundRobin) Choose(view *View, query *Query, now int64, _ Random, trace *Trace) int {
 	for range view.members {
 		at := int(p.next.Add(1) % uint64(len(view.members)))
@@ -80,7 +81,7 @@
 	return NoMember
 }
 
-// ByName returns a new policy by the name used in settings and rules, or nil.
+// ByName returns a new policy with the name used in settings and rules, or nil.
 func ByName(name string) Policy {
 	build := policies[name]
 	if build == nil {
--- a/entry/route/hedge.go
+++ b/entry/route/hedge.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Constants of hedging.
+// Constants of hedged requests.
 const (
-	hedgeAfter = 1.3 // of the usual time of an answer, after which it is late
-	hedgeAim   = 0.5 // of the time aimed at, after which a second answer still helps
+	hedgeLatencyFactor = 1.3 // multiple of the mean latency after which a hedge is sent
+	hedgeTargetShare   = 0.5 // share of the target latency after which a hedge can still meet it
 )
 
-// HedgeDelay returns how long an answer may take before the request is worth a
-// second instance: by the time aimed at, else by the service's usual time; 0 if
-// neither is known.
-func (r *Router) HedgeDelay(service string, aim time.Duration) time.Duration {
-	if aim > 0 {
-		return time.Duration(hedgeAim * float64(aim))
+// HedgeDelay returns how long to wait for a response before a hedge is sent to a
+// second instance. It is derived from the target latency if there is one, else
+// from the service's mean latency; 0 if neither is known.
+func (r *Router) HedgeDelay(service string, target time.Duration) time.Duration {
+	if target > 0 {
+		return time.Duration(hedgeTargetShare * float64(target))
 	}
 	view := r.views.Load(service)
 	if view == nil {
 		return 0
 	}
-	return time.Duration(hedgeAfter * view.norm.Latency())
+	return time.Duration(hedgeLatencyFactor * view.stats.Latency())
 }
 
-// Try is Acquire for a request that does not wait: it returns nil if no
-// instance is free, or if the retry budget is used up.
+// Try is Acquire for a hedged request, which does not wait: it returns nil if no
+// instance is free or the retry budget is exhausted.
 func (r *Router) Try(q Query) *Ticket {
 	view := r.views.Load(q.service)
 	if view == nil {
@@ -38,14 +38,14 @@
 		return nil
 	}
 	if !d.spendRetry() {
-		ticket.unused()
+		ticket.cancel()
 		return nil
 	}
 	return ticket
 }
 
-// unused gives a ticket back that was not used.
-func (t *Ticket) unused() {
+// cancel returns an unused ticket.
+func (t *Ticket) cancel() {
 	t.member.load.inFlight.Add(-1)
 	t.dispatcher.limits.inFlight.Add(-1)
 }
--- a/entry/route/limit.go
+++ b/entry/route/limit.go
@@ -1,48 +1,49 @@
 package route
 
-// Constants of the limit of requests in flight at one instance.
+// Constants of the adaptive in-flight limit of an instance.
 const (
-	firstLimit     = 1.0
-	maxHeadroom    = 16.0 // beyond the slots, whatever the policy allows
-	toleratedRatio = 3.0  // of an instance's service time to the service's own
+	minLimit       = 1.0
+	maxHeadroom    = 16.0 // in-flight requests beyond the slots, whatever the policy allows
+	toleratedRatio = 3.0  // of an instance's service time to the mean of its service
 )
 
-// allowed returns how many requests the instance may have: a limit that grows
-// with successes and shrinks with failures, and less if it is slow.
-func (l *Load) allowed(most, slowness float64, state State) float64 {
+// inFlightLimit returns how many requests may be in flight at the instance. The
+// limit increases additively with successes, decreases multiplicatively with
+// failures, and is lower for a slow instance.
+func (l *Load) inFlightLimit(maxLimit, slowness float64, state State) float64 {
 	if state == Recovering {
-		return firstLimit
+		return minLimit
 	}
-	allowed := most
+	bound := maxLimit
 	if limit := l.limit.get(); limit > 0 {
-		allowed = min(allowed, limit)
+		bound = min(bound, limit)
 	} else if state == Cold {
-		allowed = firstLimit
+		bound = minLimit
 	}
 	if slowness > toleratedRatio {
-		allowed = min(allowed, most*toleratedRatio/slowness)
+		bound = min(bound, maxLimit*toleratedRatio/slowness)
 	}
-	return max(allowed, firstLimit)
+	return max(bound, minLimit)
 }
 
-// grow raises the limit after a good answer, up to the largest useful value. A
-// cold instance starts with one request.
-func (l *Load) grow(most float64, cold bool) {
+// grow raises the limit by one after a success, up to maxLimit. A cold instance
+// starts with a limit of one (slow start).
+func (l *Load) grow(maxLimit float64, cold bool) {
 	l.limit.update(func(old float64) float64 {
 		if old == 0 && !cold {
-			return most
+			return maxLimit
 		}
-		old = max(old, firstLimit)
-		return min(old+1, most)
+		old = max(old, minLimit)
+		return min(old+1, maxLimit)
 	})
 }
 
 // shrink halves the limit after a failure.
-func (l *Load) shrink(most float64) {
+func (l *Load) shrink(maxLimit float64) {
 	l.limit.update(func(old float64) float64 {
 		if old == 0 {
-			old = most
+			old = maxLimit
 		}
-		return max(old/2, firstLimit)
+		return max(old/2, minLimit)
 	})
 }
--- a/entry/route/lowest.go
+++ b/entry/route/lowest.go
@@ -1,31 +1,31 @@
 package route
 
-// Scorer gives each member a score; the lowest one is chosen.
+// Scorer scores members; the member with the lowest score is selected.
 type Scorer interface {
-	// Score returns a member's score, and whether it may take one more request.
-	// norm is the service's own time in nanoseconds, speed the mean multiple of
-	// the usual time that its instances tell of, 0 if unknown.
-	Score(m *Member, q *Query, norm, speed float64, state State, now int64) (score float64, room bool)
+	// Score returns a member's score, and whether it has capacity for one more
+	// request. serviceLatency is the mean service time in nanoseconds, slowdown the
+	// mean slowdown that instances of the service report; both are 0 if unknown.
+	Score(m *Member, q *Query, serviceLatency, slowdown float64, state State, now int64) (score float64, room bool)
 }
 
-// LowestScore chooses the member with the lowest score among all members or among
-// a random sample of them; equal scores are decided at random.
+// LowestScore is a policy that selects the member with the lowest score among all
+// members or a random sample of them. Ties are broken at random.
 type LowestScore[S Scorer] struct {
 	name   string
-	why    string
+	reason string
 	scorer S
-	sample int // members looked at, 0 for all
+	sample int // number of members to consider, 0 for all
 	eject  bool
 }
 
 // Name returns the policy's name.
 func (p *LowestScore[S]) Name() string { return p.name }
 
-// Reason says what makes a member the chosen one.
-func (p *LowestScore[S]) Reason() string { return p.why }
+// Reason returns a short description of how the member is selected.
+func (p *LowestScore[S]) Reason() string { return p.reason }
 
-// sampleAbove is the number of members from which a policy that looks at all
-// members looks at a random sample instead.
+// A policy that considers all members considers a random sample instead if there
+// are more than sampleAbove.
 const (
 	sampleAbove = 32
 	sampleSize  = 16
@@ -33,7 +33,7 @@
 
 // Choose returns the position of the member with the lowest score.
 func (p *LowestScore[S]) Choose(view *View, query *Query, now int64, random Random, trace *Trace) int {
-	if best := p.first(view, query, now, random, trace); best >= 0 {
+	if best := p.choosePreferred(view, query, now, random, trace); best >= 0 {
 		return best
 	}
 	sample := p.sample
@@ -42,31 +42,31 @@
 	}
 	if sample > 0 && sample < len(view.members) {
 		s := scan[S]{policy: p, view: view, query: query, now: now, random: random, trace: trace, best: NoMember}
-		s.some(sample)
+		s.considerSample(sample)
 		if s.best >= 0 {
 			return s.best
 		}
 	}
 	trace.reset()
 	s := scan[S]{policy: p, view: view, query: query, now: now, random: random, trace: trace, best: NoMember}
-	s.every(p.eject)
+	s.considerAll(p.eject)
 	if s.best == NoMember && p.eject {
-		// Every member is ejected: one that may be healthy is better than none.
+		// All members are ejected. One that may be healthy is better than none.
 		trace.reset()
-		s.every(false)
+		s.considerAll(false)
 	}
 	return s.best
 }
 
-// first returns the best of the members that this host uses first, if one has
-// room.
-func (p *LowestScore[S]) first(view *View, query *Query, now int64, random Random, trace *Trace) int {
-	if len(query.among) == 0 {
+// choosePreferred returns the best of this host's preferred members, if one of them
+// has capacity.
+func (p *LowestScore[S]) choosePreferred(view *View, query *Query, now int64, random Random, trace *Trace) int {
+	if len(query.preferred) == 0 {
 		return NoMember
 	}
 	s := scan[S]{policy: p, view: view, query: query, now: now, random: random, trace: trace, best: NoMember}
-	for _, at := range query.among {
-		s.look(at, p.eject)
+	for _, at := range query.preferred {
+		s.consider(at, p.eject)
 	}
 	return s.best
 }
@@ -84,34 +84,34 @@
 	ties   int
 }
 
-// some looks at distinct random members that take requests.
-func (s *scan[S]) some(n int) {
+// considerSample considers up to n distinct random members that accept requests.
+func (s *scan[S]) considerSample(n int) {
 	members := len(s.view.members)
 	at := s.random.IntN(members)
 	step := 1 + s.random.IntN(members-1)
-	for seen, tried := 0, 0; seen < n && tried < members; tried++ {
-		if s.look(at, s.policy.eject) {
-			seen++
+	for considered, tried := 0, 0; considered < n && tried < members; tried++ {
+		if s.consider(at, s.policy.eject) {
+			considered++
 		}
 		at = (at + step) % members
 	}
 }
 
-func (s *scan[S]) every(eject bool) {
+func (s *scan[S]) considerAll(eject bool) {
 	for at := range s.view.members {
-		s.look(at, eject)
+		s.consider(at, eject)
 	}
 }
 
-// look weighs one member and reports whether it takes requests.
-func (s *scan[S]) look(at int, eject bool) bool {
+// consider scores one member and reports whether it accepts requests.
+func (s *scan[S]) consider(at int, eject bool) bool {
 	m := &s.view.members[at]
 	state := stateOf(m, s.query, s.now)
 	if state == Draining || state == Excluded || state == Ejected && eject {
 		s.trace.add(m, state, 0, true, s.now)
 		return false
 	}
-	score, room := s.policy.scorer.Score(m, s.query, s.view.norm.Latency(), s.view.norm.speed.get(), state, s.now)
+	score, room := s.policy.scorer.Score(m, s.query, s.view.stats.Latency(), s.view.stats.slowdown.get(), state, s.now)
 	s.trace.add(m, state, score, room, s.now)
 	if !room {
 		if s.best == NoMember {
--- a/entry/route/policy.go
+++ b/entry/route/policy.go
@@ -7,7 +7,7 @@
 	"github.com/snipebeam/snipebeam/world/instance"
 )
 
-// Random is a random source that allocates nothing.
+// Random is a random source that does not allocate.
 type Random struct{ next func() uint64 }
 
 // NewRandom returns a source of uniform numbers.
@@ -19,42 +19,42 @@
 	return int(high)
 }
 
-// Positions that a policy returns besides a member's.
+// Results of a policy that are not a member's position.
 const (
-	NoMember = -1 // no member takes requests
-	AllBusy  = -2 // every member that takes requests is at its limit
+	NoMember = -1 // no member accepts requests
+	AllBusy  = -2 // every member that accepts requests is at its in-flight limit
 )
 
 // Policy chooses a member of a view.
 type Policy interface {
 	// Name returns the name used in settings and rules.
 	Name() string
-	// Reason says in a few words what makes a member the chosen one.
+	// Reason returns a short description of how the member is selected.
 	Reason() string
 	// Choose returns the position of a member, or NoMember, or AllBusy. now is
-	// in Unix nanoseconds; what was known of the candidates is recorded in the
-	// trace unless it is nil.
+	// in Unix nanoseconds. The state of each candidate is recorded in trace
+	// unless it is nil.
 	Choose(view *View, query *Query, now int64, random Random, trace *Trace) int
 }
 
-// Candidate is what was known of one instance when a choice was made.
+// Candidate is the recorded state of one instance at the time of a selection.
 type Candidate struct {
 	ID         instance.ID
 	State      State
-	InFlight   int           // this host's requests
-	Reported   int           // load as the instance last reported it
+	InFlight   int           // requests of this host
+	Reported   int           // load that the instance last reported
 	ReportAge  time.Duration // negative if unknown
 	Latency    time.Duration // normalised service time, 0 if unknown
 	LatencyAge time.Duration // negative if unknown
-	Slowdown      float64       // multiple of the usual time, as last told; 0 if unknown
-	Busy       bool          // at its limit of requests in flight
-	Score      float64       // the lowest one is chosen
+	Slowdown   float64       // last reported multiple of the usual service time, 0 if unknown
+	Busy       bool          // at its in-flight limit
+	Score      float64       // the lowest one is selected
 }
 
-// maxCandidates is how many candidates of one choice are recorded.
+// maxCandidates is the number of candidates of one selection that are recorded.
 const maxCandidates = 16
 
-// Trace records the candidates of one choice.
+// Trace records the candidates of one selection.
 type Trace struct {
 	all     [maxCandidates]Candidate
 	n       int
@@ -64,7 +64,7 @@
 // Candidates returns the recorded candidates.
 func (t *Trace) Candidates() []Candidate { return t.all[:t.n] }
 
-// Omitted returns how many candidates were weighed beside the recorded ones.
+// Omitted returns how many candidates were considered but not recorded.
 func (t *Trace) Omitted() int { return t.omitted }
 
 func (t *Trace) add(m *Member, state State, score float64, room bool, now int64) {
@@ -78,7 +78,7 @@
 	reported, reportedAt := m.load.Reported()
 	t.all[t.n] = Candidate{
 		ID: m.instance.ID(), State: state, InFlight: m.load.InFlight(),
-		Slowdown: m.load.speed.get(), Reported: reported, ReportAge: ageOf(reportedAt, now), Latency: m.load.Latency(), LatencyAge: ageOf(m.load.serviceAt.Load(), now), Busy: !room, Score: score,
+		Slowdown: m.load.slowdown.get(), Reported: reported, ReportAge: ageOf(reportedAt, now), Latency: m.load.Latency(), LatencyAge: ageOf(m.load.serviceAt.Load(), now), Busy: !room, Score: score,
 	}
 	t.n++
 }
--- a/entry/route/wait_test.go
+++ b/entry/route/queue_test.go
@@ -25,9 +25,9 @@
 	return ""
 }
 
-// realTime returns a router over one instance that reads the (virtual) clock
-// of the program.
-func realTime(slots, headroom int, opts ...route.Option) *route.Router {
+// realTimeRouter returns a router over one instance. It uses the system clock, which
+// is virtual in a synctest bubble.
+func realTimeRouter(slots, headroom int, opts ...route.Option) *route.Router {
 	views := &route.Views{}
 	member := route.NewMember(instance.New("catalogue-0", service, "", instance.WithSlots(slots)), &route.Load{})
 	views.Store(map[string]*route.View{service: route.NewView(service, []route.Member{member})})
@@ -36,7 +36,7 @@
 
 func TestWaitingEndsWithTheContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := realTime(1, 0)
+		r := realTimeRouter(1, 0)
 		_, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), 70*time.Millisecond)
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		limits := route.DefaultLimits()
 		limits.QueueLength, limits.MaxWait = 10, time.Second
-		r := realTime(1, 0, route.WithLimits(limits))
+		r := realTimeRouter(1, 0, route.WithLimits(limits))
 		_, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
 		var group sync.WaitGroup
@@ -77,10 +77,11 @@
 	})
 }
 
-// TestNoWakeupIsLost runs many requests through few slots; each must end.
+// TestNoWakeupIsLost guards against a lost wake-up, which leaves a request waiting
+// forever: many requests pass through few slots, and each must finish.
 func TestNoWakeupIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := realTime(2, 1)
+		r := realTimeRouter(2, 1)
 		var group sync.WaitGroup
 		for n := range 500 {
 			group.Go(func() {
@@ -97,9 +98,9 @@
 	})
 }
 
-// TestNobodyStarves queues requests with any deadlines and priorities; each is
-// given an instance after a bounded number of others.
-func TestNobodyStarves(t *testing.T) {
+// TestNoRequestStarves queues requests with arbitrary deadlines and priorities. Each is
+// served after a bounded number of others.
+func TestNoRequestStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := route.DefaultLimits()
 		limits.MaxBypass = rapid.IntRange(1, 8).Draw(t, "bypass")
@@ -107,13 +108,13 @@
 		f.change(0, instance.WithSlots(1))
 		running, err := f.offer(query())
 		must.NoError(t, err)
-		waiting := map[int]int{} // by request: requests that went first
-		ahead := map[int]int{}   // by request: requests that waited when it came
+		waiting := map[int]int{} // by request: requests that were served first
+		ahead := map[int]int{}   // by request: requests that waited when it arrived
 		for step := range rapid.IntRange(10, 150).Draw(t, "steps") {
 			f.now += int64(time.Millisecond)
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				id := step*10 + len(waiting)%10
-				if _, there := waiting[id]; there {
+				if _, exists := waiting[id]; exists {
 					continue
 				}
 				terms := contract.New(contract.WithPriority(contract.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))))
@@ -145,7 +146,7 @@
 	})
 }
 
-func TestRequestThatCannotBeInTimeIsShedAtOnce(t *testing.T) {
+func TestRequestThatCannotMeetItsDeadlineIsShedImmediately(t *testing.T) {
 	f := newFixture(1, route.NewAdaptive())
 	for range 50 {
 		ticket, err := f.offer(query())
@@ -164,23 +165,23 @@
 func TestLimitsOfServiceAndCaller(t *testing.T) {
 	terms := contract.NewService(service, contract.WithInFlight(4), contract.WithEachCallerInFlight(3), contract.WithRetryBudget(0.1))
 	f := newFixture(5, route.NewAdaptive(), route.WithTerms(func(string) *contract.Service { return terms }))
-	ask := func(caller string) (*route.Ticket, error) {
+	request := func(caller string) (*route.Ticket, error) {
 		return f.offer(route.NewQuery(service, contract.New(), caller, ""))
 	}
 	var tickets []*route.Ticket
 	for range 3 {
-		ticket, err := ask("studio")
+		ticket, err := request("studio")
 		must.NoError(t, err)
 		tickets = append(tickets, ticket)
 	}
-	_, err := ask("studio")
+	_, err := request("studio")
 	must.Eq(t, outcome.CallerLimit, reasonOf(err))
-	fourth, err := ask("clinic")
+	fourth, err := request("clinic")
 	must.NoError(t, err)
 	must.NotNil(t, fourth)
-	waits, err := ask("registrant")
+	queued, err := request("registrant")
 	must.NoError(t, err)
-	must.Nil(t, waits)
+	must.Nil(t, queued)
 	tickets[0].Finish(good)
 	n, _ := f.router.Waiting(service)
 	must.Eq(t, 0, n)
--- a/entry/route/route.go
+++ b/entry/route/route.go
@@ -1,9 +1,9 @@
-// Package route chooses the instance that a request goes to.
+// Package route selects the instance that a request is sent to.
 //
 // A Router holds one immutable View of each service behind an atomic pointer;
-// choosing takes no lock and allocates nothing. A Policy is pure: it sees a
-// view, the time and a random source, and returns the position of one member,
-// or says that every member is at its limit. Requests that find every member
+// selection takes no lock and allocates nothing. A Policy is pure: given a
+// view, the time and a random source, it returns the position of one member,
+// or reports that every member is at its limit. Requests that find every member
 // at its limit wait at this host, in a bounded queue, for the next free slot.
 //
 // Usage:
@@ -14,8 +14,8 @@
 //	defer ticket.Finish(route.Report{Latency: took})
 //	dial(ticket.Instance().Address())
 //
-// A measurement that runs in virtual time calls Offer in place of Acquire and
-// gives the router its clock and random source.
+// A simulation that runs in virtual time calls Offer instead of Acquire and
+// passes its own clock and random source to the router.
 package route
 
 import (
@@ -29,34 +29,34 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// Router gives out tickets.
+// Router selects an instance for each attempt of a request and issues a Ticket for it.
 type Router struct {
-	views    *Views
-	policy   Policy
-	policies *policyTable
-	terms    func(service string) *contract.Service
-	share    func(service string) float64
-	host     string
-	scout    ProbeFunc
-	lookTime value // of a look, nanoseconds
-	clock    func() int64
-	random   Random
-	trace    bool
-	limits   Limits
+	views     *Views
+	policy    Policy
+	policies  *policyTable
+	terms     func(service string) *contract.Service
+	share     func(service string) float64
+	host      string
+	probe     ProbeFunc
+	probeTime atomicFloat // typical duration of a pre-dispatch probe, nanoseconds
+	clock     func() int64
+	random    Random
+	trace     bool
+	limits    Limits
 
 	mu          sync.Mutex
 	dispatchers atomic.Pointer[map[string]*Dispatcher]
 }
 
-// Limits are the bounds of the queue and of ejection.
+// Limits bounds the queue and outlier ejection.
 type Limits struct {
-	QueueLength    int           // requests of one service that may wait at this host
-	MaxWait       time.Duration // longest wait
-	MaxBypass     int           // times that the oldest waiting request may be passed over
-	MaxEjected float64       // share of a service's instances that may be ejected
+	QueueLength int           // maximum number of requests of one service that wait at this host
+	MaxWait     time.Duration // maximum time in the queue
+	MaxBypass   int           // times that the oldest waiting request may be bypassed by others
+	MaxEjected  float64       // share of a service's instances that may be ejected
 }
 
-// DefaultLimits returns the limits used unless others are given.
+// DefaultLimits returns the limits that apply unless WithLimits is used.
 func DefaultLimits() Limits {
 	return Limits{QueueLength: 1024, MaxWait: 10 * time.Second, MaxBypass: 16, MaxEjected: 0.4}
 }
@@ -70,29 +70,29 @@
 // WithRandom sets the random source; it is called from many goroutines.
 func WithRandom(next func() uint64) Option { return func(r *Router) { r.random = NewRandom(next) } }
 
-// WithTerms sets where the terms of a service are read.
+// WithTerms sets the function that returns the terms of a service.
 func WithTerms(terms func(service string) *contract.Service) Option {
 	return func(r *Router) { r.terms = terms }
 }
 
-// WithShare sets this host's part of limits that hold for all hosts together.
+// WithShare sets the function that returns this host's share of fleet-wide limits.
 func WithShare(share func(service string) float64) Option { return func(r *Router) { r.share = share } }
 
-// WithPolicies sets how a policy that a service's terms name is found.
+// WithPolicies sets the lookup of the policy that a service's terms name.
 func WithPolicies(policies func(name string) Policy) Option {
 	return func(r *Router) { r.policies = newPolicyTable(policies) }
 }
 
-// WithLimits sets the bounds of the queue and of ejection.
+// WithLimits sets the bounds of the queue and of outlier ejection.
 func WithLimits(l Limits) Option { return func(r *Router) { r.limits = l } }
 
-// WithoutTrace leaves the candidates of each choice unrecorded.
+// WithoutTrace disables recording the candidates of each selection.
 func WithoutTrace() Option { return func(r *Router) { r.trace = false } }
 
 // NewRouter returns a router over the views.
 func NewRouter(views *Views, policy Policy, opts ...Option) *Router {
 	r := &Router{
-		views: views, policy: policy, policies: newPolicyTable(ByName), terms: contractOf, share: whole, trace: true, limits: DefaultLimits(),
+		views: views, policy: policy, policies: newPolicyTable(ByName), terms: defaultTermsOf, share: wholeShare, trace: true, limits: DefaultLimits(),
 		clock:  func() int64 { return time.Now().UnixNano() },
 		random: NewRandom(rand.Uint64),
 	}
@@ -100,50 +100,50 @@
 		opt(r)
 	}
 	r.dispatchers.Store(&map[string]*Dispatcher{})
-	views.watch(r.refresh)
+	views.subscribe(r.refresh)
 	return r
 }
 
-func whole(string) float64 { return 1 }
+func wholeShare(string) float64 { return 1 }
 
 var defaultTerms = contract.NewService("")
 
-func contractOf(string) *contract.Service { return defaultTerms }
+func defaultTermsOf(string) *contract.Service { return defaultTerms }
 
-// Acquire chooses an instance and counts the attempt as in flight there. If
-// every instance is at its limit it waits until one is free, the context ends
-// or the deadline cannot be met any more. The error is an *outcome.Problem.
+// Acquire selects an instance and counts the attempt as in flight there. If
+// every instance is at its limit, it waits until one is free, the context ends
+// or the deadline can no longer be met. The error is an *outcome.Problem.
 func (r *Router) Acquire(ctx context.Context, q Query) (*Ticket, error) {
 	granted := make(chan grant, 1)
 	if deadline, ok := ctx.Deadline(); ok && q.deadline == 0 {
 		q.deadline = deadline.UnixNano()
 	}
-	look := r.Dispatcher(q.service).look(ctx, &q)
+	probes := r.Dispatcher(q.service).sendProbes(ctx, &q)
 	ticket, waiter, err := r.Offer(q, func(t *Ticket, err error) { granted <- grant{t, err} })
 	if err != nil {
 		return nil, err
 	}
 	if ticket != nil {
-		ticket.look = look
+		ticket.probes = probes
 		return ticket, nil
 	}
-	limit := time.NewTimer(r.limits.MaxWait)
-	defer limit.Stop()
+	timeout := time.NewTimer(r.limits.MaxWait)
+	defer timeout.Stop()
 	select {
 	case g := <-granted:
 		if g.ticket != nil {
-			g.ticket.look = look
+			g.ticket.probes = probes
 		}
 		return g.result()
 	case <-ctx.Done():
-		return r.giveUp(waiter, granted, outcome.DeadlineExceeded, "no instance of "+q.service+" was free in time")
-	case <-limit.C:
-		return r.giveUp(waiter, granted, outcome.Overload, "no instance of "+q.service+" was free within the longest wait")
+		return r.cancelWait(waiter, granted, outcome.DeadlineExceeded, "no instance of "+q.service+" became free before the deadline")
+	case <-timeout.C:
+		return r.cancelWait(waiter, granted, outcome.Overload, "no instance of "+q.service+" became free within the queue timeout")
 	}
 }
 
-// giveUp ends a wait; a ticket that was granted meanwhile is returned.
-func (r *Router) giveUp(w *Waiter, granted <-chan grant, reason outcome.Reason, detail string) (*Ticket, error) {
+// cancelWait ends a wait. If a ticket was granted concurrently, it is returned instead.
+func (r *Router) cancelWait(w *Waiter, granted <-chan grant, reason outcome.Reason, detail string) (*Ticket, error) {
 	if w.Cancel() {
 		return nil, outcome.New(outcome.NotRun, reason, detail)
 	}
@@ -162,8 +162,8 @@
 	return g.ticket, nil
 }
 
-// Offer is Acquire without blocking: it returns a ticket, or a waiter whose
-// granted function is called once with a ticket or an error, or an error.
+// Offer is the non-blocking form of Acquire. It returns a ticket, an error, or a
+// waiter, in which case granted is called once with a ticket or an error.
 func (r *Router) Offer(q Query, granted func(*Ticket, error)) (*Ticket, *Waiter, error) {
 	view := r.views.Load(q.service)
 	if view == nil {
@@ -193,8 +193,8 @@
 	return d
 }
 
-// AllowRetry takes one retry from the service's budget, which its requests
-// earn, and reports whether there was one.
+// AllowRetry takes one retry from the service's retry budget, which grows with
+// its requests, and reports whether one was available.
 func (r *Router) AllowRetry(service string) bool {
 	return r.Dispatcher(service).spendRetry()
 }
@@ -209,7 +209,7 @@
 	return d.Waiting()
 }
 
-// refresh runs after new views were published.
+// refresh runs after new views are published.
 func (r *Router) refresh() {
 	for _, d := range *r.dispatchers.Load() {
 		d.refresh()
--- a/entry/route/route_test.go
+++ b/entry/route/route_test.go
@@ -75,8 +75,8 @@
 	failed = route.Report{Latency: time.Millisecond, Failed: true}
 )
 
-// TestHealthyInstanceIsAlwaysFound lets any instances fail, drain and lose
-// their requests, and asks each policy while one healthy instance is idle.
+// TestHealthyInstanceIsAlwaysFound checks that each policy finds an instance while
+// one is healthy and idle, whichever of the others fail or drain.
 func TestHealthyInstanceIsAlwaysFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom(contract.PolicyNames()).Draw(t, "policy")
@@ -101,7 +101,7 @@
 	})
 }
 
-// TestEjectedShareIsBounded holds for any failures and any change of the view.
+// TestEjectedShareIsBounded checks the bound for arbitrary failures and view changes.
 func TestEjectedShareIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 15).Draw(t, "instances")
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestFailingInstanceIsEjectedAndComesBackByOneRequest(t *testing.T) {
+func TestFailingInstanceIsEjectedAndRecoversWithOneRequest(t *testing.T) {
 	f := newFixture(5, route.NewAdaptive())
 	for n := 1; n < 5; n++ {
 		f.change(n, instance.WithDraining(true))
@@ -154,7 +154,7 @@
 	must.Eq(t, 1, f.members[0].Load().InFlight())
 }
 
-func TestLyingReportIsIgnored(t *testing.T) {
+func TestContradictoryReportsAreIgnored(t *testing.T) {
 	f := newFixture(1, route.NewAdaptive(route.WithReportWeight(1)))
 	var mine []*route.Ticket
 	for range 6 {
--- a/entry/route/aims_test.go
+++ b/entry/route/softdeadline_test.go
@@ -14,105 +14,106 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-const usual = 100 * time.Millisecond // time of an answer in these tests
+const responseTime = 100 * time.Millisecond // of every request in these tests
 
-// taught returns a router over one instance with one slot whose time is known.
-func taught(t *testing.T) *route.Router {
-	r := realTime(1, 0)
+// warmRouter returns a router over one instance with one slot, with a warmed-up
+// latency estimate.
+func warmRouter(t *testing.T) *route.Router {
+	r := realTimeRouter(1, 0)
 	for range 20 {
 		ticket, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
-		time.Sleep(usual)
-		ticket.Finish(route.Report{Latency: usual})
+		time.Sleep(responseTime)
+		ticket.Finish(route.Report{Latency: responseTime})
 	}
 	return r
 }
 
-// turns are the names of requests in the order of their turns.
-type turns struct {
+// serveOrder records the names of requests in the order in which they are served.
+type serveOrder struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (o *turns) add(name string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.all = append(o.all, name)
+func (s *serveOrder) add(name string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.all = append(s.all, name)
 }
 
-func (o *turns) seen() []string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return slices.Clone(o.all)
+func (s *serveOrder) names() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.all)
 }
 
-// offer queues a request and notes when its turn comes, or that it is refused.
-func offer(r *route.Router, name string, aim, deadline time.Duration, order *turns, terms *contract.Contract) {
-	q := route.NewQuery(service, terms, "", "").WithDeadline(time.Now().Add(deadline)).WithSoftDeadline(time.Now().Add(aim))
+// offer queues a request and records when it is served, or that it is refused.
+func offer(r *route.Router, name string, softDeadline, deadline time.Duration, order *serveOrder, terms *contract.Contract) {
+	q := route.NewQuery(service, terms, "", "").WithDeadline(time.Now().Add(deadline)).WithSoftDeadline(time.Now().Add(softDeadline))
 	_, _, err := r.Offer(q, func(ticket *route.Ticket, err error) {
 		if err != nil {
 			order.add(name + " refused")
 			return
 		}
 		order.add(name)
-		time.AfterFunc(usual, func() { ticket.Finish(route.Report{Latency: usual}) })
+		time.AfterFunc(responseTime, func() { ticket.Finish(route.Report{Latency: responseTime}) })
 	})
 	if err != nil {
-		order.add(name + " refused at once")
+		order.add(name + " refused immediately")
 	}
 }
 
-func TestRequestsThatCanMakeTheirAimGoBeforeThoseThatMissedIt(t *testing.T) {
+func TestRequestsThatCanMeetTheirSoftDeadlineAreServedBeforeLateOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := taught(t)
+		r := warmRouter(t)
 		busy, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
-		var order turns
+		var order serveOrder
 		terms := contract.New()
 		offer(r, "missed", -time.Second, 5*time.Second, &order, terms)
 		offer(r, "later", 5*time.Second, 9*time.Second, &order, terms)
 		offer(r, "sooner", 2*time.Second, 9*time.Second, &order, terms)
 		offer(r, "urgent", 6*time.Second, 9*time.Second, &order, contract.New(contract.WithPriority(contract.PriorityHigh)))
-		busy.Finish(route.Report{Latency: usual})
+		busy.Finish(route.Report{Latency: responseTime})
 		time.Sleep(time.Minute)
-		must.Eq(t, []string{"urgent", "sooner", "later", "missed"}, order.seen())
+		must.Eq(t, []string{"urgent", "sooner", "later", "missed"}, order.names())
 	})
 }
 
-func TestTheNewestGoesFirstWhileTheOldestWouldBarelyMakeIt(t *testing.T) {
+func TestNewestIsServedFirstWhileOldestHasLittleSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := taught(t)
+		r := warmRouter(t)
 		busy, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
-		var order turns
-		offer(r, "old", usual+usual/4, time.Second, &order, contract.New())
-		offer(r, "new", usual+usual/3, time.Second, &order, contract.New())
-		busy.Finish(route.Report{Latency: usual})
+		var order serveOrder
+		offer(r, "old", responseTime+responseTime/4, time.Second, &order, contract.New())
+		offer(r, "new", responseTime+responseTime/3, time.Second, &order, contract.New())
+		busy.Finish(route.Report{Latency: responseTime})
 		time.Sleep(time.Minute)
-		must.Eq(t, []string{"new", "old"}, order.seen())
+		must.Eq(t, []string{"new", "old"}, order.names())
 	})
 }
 
-func TestWhatCannotBeAnsweredInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotBeAnsweredInTimeIsRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := taught(t)
+		r := warmRouter(t)
 		_, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
-		var order turns
-		offer(r, "hopeless", usual/2, usual/2, &order, contract.New())
-		must.Eq(t, []string{"hopeless refused"}, order.seen())
-		// Of those that missed their aim only so many wait as are served soon.
+		var order serveOrder
+		offer(r, "unmeetable", responseTime/2, responseTime/2, &order, contract.New())
+		must.Eq(t, []string{"unmeetable refused"}, order.names())
+		// Only as many late requests wait as can be served soon.
 		for range 50 {
 			offer(r, "late", -time.Second, time.Minute, &order, contract.New())
 		}
-		must.Greater(t, 30, len(order.seen()))
+		must.Greater(t, 30, len(order.names()))
 		n, _ := r.Waiting(service)
 		must.Positive(t, n)
 		must.LessEq(t, 12, n)
 	})
 }
 
-func TestASlotIsLeftFreeAndTheFasterMachineIsChosen(t *testing.T) {
+func TestOneSlotStaysFreeAndTheFasterInstanceIsSelected(t *testing.T) {
 	var members []route.Member
 	for _, id := range []instance.ID{"a", "b"} {
 		members = append(members, route.NewMember(instance.New(id, service, "", instance.WithSlots(3)), &route.Load{}))
@@ -135,7 +136,7 @@
 	must.Eq(t, []instance.ID{"b", "b", "a", "a"}, chosen)
 }
 
-func TestAnInstanceThatDoesNotAnswerProbesIsEjected(t *testing.T) {
+func TestInstanceThatDoesNotAnswerProbesIsEjected(t *testing.T) {
 	var members []route.Member
 	for _, id := range []instance.ID{"a", "b", "c"} {
 		members = append(members, route.NewMember(instance.New(id, service, ""), &route.Load{}))
@@ -149,12 +150,12 @@
 	must.Eq(t, route.Ejected, members[0].State(time.Now().UnixNano()))
 }
 
-func TestSecondCopiesKeepToTheBudgetAndTheAllowance(t *testing.T) {
+func TestHedgesRespectTheRetryBudgetAndTheAllowance(t *testing.T) {
 	for _, c := range []struct {
 		terms *contract.Service
 		want  int
 	}{
-		{contract.NewService(service, contract.WithRetryBudget(0)), 3}, // what a new budget has
+		{contract.NewService(service, contract.WithRetryBudget(0)), 3}, // initial tokens of a new budget
 		{contract.NewService(service, contract.WithRetryBudget(0), contract.WithRetryAllowance(100, 10*time.Second)), 23},
 	} {
 		now := int64(time.Hour)
@@ -174,10 +175,10 @@
 
 func TestShedIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := taught(t)
+		r := warmRouter(t)
 		_, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
-		_, err = r.Acquire(t.Context(), query().WithDeadline(time.Now().Add(usual/2)).WithSoftDeadline(time.Now()))
+		_, err = r.Acquire(t.Context(), query().WithDeadline(time.Now().Add(responseTime/2)).WithSoftDeadline(time.Now()))
 		must.Eq(t, outcome.Overload, reasonOf(err))
 	})
 }
--- a/entry/route/table.go
+++ b/entry/route/table.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// policyTable holds one policy of each name; a policy may have state, such as
-// whose turn it is.
+// policyTable holds one policy per name. Policies are shared because they may
+// have state, such as the position of round robin.
 type policyTable struct {
 	build func(name string) Policy
-	all   sync.Map // of Policy by name
+	all   sync.Map // name to Policy
 }
 
 func newPolicyTable(build func(name string) Policy) *policyTable {
 	return &policyTable{build: build}
 }
 
-// get returns the policy of a name, or nil.
+// get returns the policy with the name, or nil if there is none.
 func (t *policyTable) get(name string) Policy {
 	if p, ok := t.all.Load(name); ok {
 		return p.(Policy)
@@ -22,6 +22,6 @@
 	if p == nil {
 		return nil
 	}
-	kept, _ := t.all.LoadOrStore(name, p)
-	return kept.(Policy)
+	stored, _ := t.all.LoadOrStore(name, p)
+	return stored.(Policy)
 }
--- a/entry/route/ticket.go
+++ b/entry/route/ticket.go
@@ -7,46 +7,46 @@
 	"github.com/snipebeam/snipebeam/world/instance"
 )
 
-// Report is what came of one attempt.
+// Report is the result of one attempt.
 type Report struct {
-	Latency time.Duration // from dispatch to the first byte of the answer
-	Failed  bool          // the answer is an error of the instance, or there is none
-	ConnectionLost    bool          // the link broke or went silent
-	Refused bool          // the instance did not start it
-	HedgeCancelled  bool          // it was cancelled, since another instance answered first
-	// ReportedLoad is the load that the answer carried, valid if HasReport.
-	ReportedLoad  int
+	Latency        time.Duration // from dispatch to the first byte of the response
+	Failed         bool          // the instance returned an error or no response
+	ConnectionLost bool          // the connection broke, timed out or could not be opened
+	Refused        bool          // the instance rejected the request without starting it
+	HedgeCancelled bool          // cancelled because another instance responded first
+	// ReportedLoad is the load that the response carried, valid if HasReportedLoad.
+	ReportedLoad    int
 	HasReportedLoad bool
-	Slowdown     float64 // time that work takes now, as a multiple of the usual; 0 if not told
+	Slowdown        float64 // current service time as a multiple of the usual one, 0 if not reported
 }
 
-// Ticket is the right to send one attempt to one instance.
+// Ticket is the permission to send one attempt to one instance.
 type Ticket struct {
 	member     Member
 	dispatcher *Dispatcher
 	policy     string
-	why        string
-	work       float64 // that the instance could have done when this one was sent
-	level      float64 // requests at the instance when this one was sent, itself included
+	reason     string
+	work       float64 // reading of the instance's work clock at dispatch
+	inFlight   float64 // requests of this host at the instance at dispatch, including this one
 	waited     time.Duration
-	look       ProbeStats
-	held       pass
+	probes     ProbeStats
+	permit     permit
 	trace      *Trace
 }
 
 // Instance returns the chosen instance.
 func (t *Ticket) Instance() *instance.Instance { return t.member.instance }
 
-// Reason says why the instance was chosen.
-func (t *Ticket) Reason() string { return t.policy + ": " + t.why }
+// Reason returns the policy and why it selected the instance.
+func (t *Ticket) Reason() string { return t.policy + ": " + t.reason }
 
-// Waited returns how long the request waited for the instance.
+// Waited returns how long the request was queued.
 func (t *Ticket) Waited() time.Duration { return t.waited }
 
-// Probes returns what was asked of instances before the choice.
-func (t *Ticket) Probes() ProbeStats { return t.look }
+// Probes returns the summary of the pre-dispatch probes.
+func (t *Ticket) Probes() ProbeStats { return t.probes }
 
-// Candidates returns what was known of the instances that were weighed.
+// Candidates returns the recorded state of the instances that were considered.
 func (t *Ticket) Candidates() []Candidate {
 	if t.trace == nil {
 		return nil
@@ -54,7 +54,7 @@
 	return t.trace.Candidates()
 }
 
-// Omitted returns how many weighed instances the candidates leave out.
+// Omitted returns how many instances were considered but not recorded.
 func (t *Ticket) Omitted() int {
 	if t.trace == nil {
 		return 0
@@ -62,7 +62,7 @@
 	return t.trace.Omitted()
 }
 
-// Explain returns the candidates as the decision log shows them.
+// Explain returns the candidates in the form of the decision log.
 func (t *Ticket) Explain() []decision.Candidate {
 	all := make([]decision.Candidate, 0, len(t.Candidates()))
 	for _, c := range t.Candidates() {
@@ -88,5 +88,5 @@
 	return line
 }
 
-// Finish ends the attempt. It is called exactly once.
+// Finish ends the attempt and records its result. It must be called exactly once.
 func (t *Ticket) Finish(report Report) { t.dispatcher.finish(t, report) }
--- a/entry/route/view.go
+++ b/entry/route/view.go
@@ -16,22 +16,22 @@
 // NewMember returns a member of a view.
 func NewMember(i *instance.Instance, load *Load) Member { return Member{instance: i, load: load} }
 
-// Instance returns what the instance announced.
+// Instance returns the instance as announced.
 func (m Member) Instance() *instance.Instance { return m.instance }
 
-// Load returns what this host knows of the instance's load.
+// Load returns this host's load estimate for the instance.
 func (m Member) Load() *Load { return m.load }
 
 // View is the immutable list of a service's instances.
 type View struct {
 	service string
 	members []Member
-	norm    *ServiceStats
+	stats   *ServiceStats
 }
 
 // NewView returns a view of a service.
 func NewView(service string, members []Member) *View {
-	return &View{service: service, members: members, norm: &ServiceStats{}}
+	return &View{service: service, members: members, stats: &ServiceStats{}}
 }
 
 // Service returns the service's name.
@@ -40,45 +40,45 @@
 // Members returns the instances.
 func (v *View) Members() []Member { return v.members }
 
-// Stats returns the service's own level of latency.
-func (v *View) Stats() *ServiceStats { return v.norm }
+// Stats returns the statistics of the service.
+func (v *View) Stats() *ServiceStats { return v.stats }
 
 // Views holds the current view of each service.
 type Views struct {
 	current atomic.Pointer[map[string]*View]
 
-	mu       sync.Mutex
-	norms    map[string]*ServiceStats
-	watchers []func()
+	mu          sync.Mutex
+	stats       map[string]*ServiceStats
+	subscribers []func()
 }
 
-// Store publishes new views. The level of a service outlives its views.
+// Store publishes new views. The statistics of a service outlive its views.
 func (v *Views) Store(views map[string]*View) {
 	v.mu.Lock()
-	if v.norms == nil {
-		v.norms = map[string]*ServiceStats{}
+	if v.stats == nil {
+		v.stats = map[string]*ServiceStats{}
 	}
 	for service, view := range views {
-		if v.norms[service] == nil {
-			v.norms[service] = view.norm
+		if v.stats[service] == nil {
+			v.stats[service] = view.stats
 		}
-		if view.norm != v.norms[service] { // a view that was published before is not written
-			view.norm = v.norms[service]
+		if view.stats != v.stats[service] { // a view that is already published is read concurrently and must not be written
+			view.stats = v.stats[service]
 		}
 	}
 	v.current.Store(&views)
-	watchers := v.watchers
+	subscribers := v.subscribers
 	v.mu.Unlock()
-	for _, changed := range watchers {
+	for _, changed := range subscribers {
 		changed()
 	}
 }
 
-// watch calls a function after each change.
-func (v *Views) watch(changed func()) {
+// subscribe registers a function that is called after each change.
+func (v *Views) subscribe(changed func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.watchers = append(v.watchers, changed)
+	v.subscribers = append(v.subscribers, changed)
 }
 
 // Load returns the view of a service, or nil.
--- a/entry/route/zone_test.go
+++ b/entry/route/zone_test.go
@@ -12,27 +12,27 @@
 
 const zoneChoices = 200
 
-// chosenElsewhere returns how many of many choices fall on the instance in
-// another zone than the asking host.
-func chosenElsewhere(policy route.Policy, preference contract.ZonePreference) int {
+// chosenInOtherZone returns how many of zoneChoices selections fall on the instance
+// in another zone than this host.
+func chosenInOtherZone(policy route.Policy, preference contract.ZonePreference) int {
 	view := route.NewView("catalogue", []route.Member{
 		route.NewMember(instance.New("near", "catalogue", "", instance.WithZone("shawinigan")), &route.Load{}),
 		route.NewMember(instance.New("far", "catalogue", "", instance.WithZone("becancour")), &route.Load{}),
 	})
 	query := route.NewQuery("catalogue", contract.New(contract.WithZone(preference)), "studio", "shawinigan")
 	random := route.NewRandom(rand.NewPCG(1, 2).Uint64)
-	far := 0
+	otherZone := 0
 	for range zoneChoices {
 		if policy.Choose(view, &query, 0, random, nil) == 1 {
-			far++
+			otherZone++
 		}
 	}
-	return far
+	return otherZone
 }
 
-func TestZonePreferenceOfTheRuleHolds(t *testing.T) {
-	must.Zero(t, chosenElsewhere(route.NewAdaptive(), contract.ZoneRequire))
-	must.Zero(t, chosenElsewhere(route.NewRoundRobin(), contract.ZoneRequire))
-	must.Zero(t, chosenElsewhere(route.NewAdaptive(), contract.ZonePrefer))
-	must.Between(t, zoneChoices/4, chosenElsewhere(route.NewAdaptive(), contract.ZoneAny), zoneChoices*3/4)
+func TestZonePreferenceOfTheRuleIsApplied(t *testing.T) {
+	must.Zero(t, chosenInOtherZone(route.NewAdaptive(), contract.ZoneRequire))
+	must.Zero(t, chosenInOtherZone(route.NewRoundRobin(), contract.ZoneRequire))
+	must.Zero(t, chosenInOtherZone(route.NewAdaptive(), contract.ZonePrefer))
+	must.Between(t, zoneChoices/4, chosenInOtherZone(route.NewAdaptive(), contract.ZoneAny), zoneChoices*3/4)
 }
