--- a/control/quorum/compact.go
+++ b/control/quorum/compact.go
@@ -4,7 +4,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// SnapshotMeta describes a snapshot of the state at the last applied entry.
+// SnapshotMeta returns the index, term and membership for a snapshot taken at
+// the last applied entry.
 func (r *Replica) SnapshotMeta() *wire.LogSnapshot {
 	term, _ := r.log.term(r.log.applied)
 	return &wire.LogSnapshot{
@@ -12,10 +13,11 @@
 	}
 }
 
-// Compact drops the entries that a durable snapshot covers, but for the last
-// ones up to a size, which replicas a little behind may still need.
+// Compact drops the entries that a durable snapshot covers. It retains the last
+// keepBytes of them, so that a replica that lags slightly can catch up from the
+// log instead of a snapshot.
 func (r *Replica) Compact(snapshotIndex uint64, keepBytes int) {
-	upTo := r.log.keepFrom(min(snapshotIndex, r.log.applied), keepBytes)
+	upTo := r.log.compactionIndex(min(snapshotIndex, r.log.applied), keepBytes)
 	if upTo <= r.log.offset {
 		return
 	}
@@ -23,8 +25,9 @@
 	r.members.compact(upTo)
 }
 
-// keepFrom returns the index before the last entries of a size up to an index.
-func (l *entryLog) keepFrom(index uint64, keepBytes int) uint64 {
+// compactionIndex returns the index up to which the log can be compacted if the
+// last keepBytes of entries up to index are retained.
+func (l *entryLog) compactionIndex(index uint64, keepBytes int) uint64 {
 	size := 0
 	for ; index > l.offset; index-- {
 		size += len(l.entries[index-l.offset-1].GetData()) + entryOverhead
@@ -35,8 +38,9 @@
 	return index
 }
 
-// entryOverhead is what an entry takes in memory beside its data, in bytes.
+// entryOverhead is the memory that an entry takes in addition to its data, in
+// bytes.
 const entryOverhead = 128
 
-// LogBytes returns the size of the entries kept in memory.
+// LogBytes returns the total data size of the entries held in memory.
 func (r *Replica) LogBytes() int { return r.log.bytes }
--- a/control/quorum/election.go
+++ b/control/quorum/election.go
@@ -4,21 +4,22 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// campaign asks the voters whether they would vote for this replica, without
-// raising the term: a replica that was cut off does not disturb the others.
+// campaign starts a pre-vote round. It does not increment the term, so that a
+// replica that returns from a network partition does not force an election.
 func (r *Replica) campaign() {
 	r.role, r.leader = PreCandidate, ""
 	r.resetTimeout()
 	r.votes = map[string]bool{r.id: true}
 	if r.wonVotes() {
-		r.candidate(false)
+		r.becomeCandidate(false)
 		return
 	}
 	r.requestVotes(wire.QuorumKind_QUORUM_PRE_VOTE, r.term+1, false)
 }
 
-// candidate starts an election in a new term.
-func (r *Replica) candidate(transferred bool) {
+// becomeCandidate increments the term and starts an election. If transferred is
+// set, voters grant the vote even though their leader is still active.
+func (r *Replica) becomeCandidate(transferred bool) {
 	r.role, r.leader = Candidate, ""
 	r.term++
 	r.vote = r.id
@@ -48,7 +49,7 @@
 	return r.members.isQuorum(func(id string) bool { return r.votes[id] })
 }
 
-func (r *Replica) answerPreVote(m *wire.QuorumMessage) {
+func (r *Replica) handlePreVote(m *wire.QuorumMessage) {
 	granted := m.GetTerm() > r.term && r.log.upToDate(m.GetIndex(), m.GetLogTerm())
 	answer := &wire.QuorumMessage{
 		Kind: wire.QuorumKind_QUORUM_PRE_VOTE_ANSWER, To: m.GetFrom(), Term: r.term, Reject: !granted,
@@ -59,7 +60,7 @@
 	r.send(answer)
 }
 
-func (r *Replica) answerVote(m *wire.QuorumMessage) {
+func (r *Replica) handleVote(m *wire.QuorumMessage) {
 	granted := (r.vote == "" || r.vote == m.GetFrom()) && r.role != Candidate && r.role != Leader && r.log.upToDate(m.GetIndex(), m.GetLogTerm())
 	if granted {
 		if r.vote == "" {
@@ -73,14 +74,14 @@
 	})
 }
 
-// countVote counts an answer to the pre-vote or the vote that is going on.
+// countVote counts a granted vote for the current pre-vote or election.
 func (r *Replica) countVote(m *wire.QuorumMessage) {
 	switch {
 	case m.GetReject():
 	case r.role == PreCandidate && m.GetKind() == wire.QuorumKind_QUORUM_PRE_VOTE_ANSWER && m.GetTerm() == r.term+1:
 		r.votes[m.GetFrom()] = true
 		if r.wonVotes() {
-			r.candidate(false)
+			r.becomeCandidate(false)
 		}
 	case r.role == Candidate && m.GetKind() == wire.QuorumKind_QUORUM_VOTE_ANSWER && m.GetTerm() == r.term:
 		r.votes[m.GetFrom()] = true
@@ -98,12 +99,13 @@
 	r.peers = map[string]*progress{}
 	r.syncPeers()
 	r.appendEntry(&wire.LogEntry{Kind: wire.EntryKind_ENTRY_EMPTY})
-	r.requestHeartbeats()
+	r.scheduleHeartbeats()
 }
 
-// heardQuorum reports whether a quorum answered within the election timeout.
-func (r *Replica) heardQuorum() bool {
+// hasActiveQuorum reports whether a quorum of voters, including this replica,
+// answered within the election timeout.
+func (r *Replica) hasActiveQuorum() bool {
 	return r.members.isQuorum(func(id string) bool { return id == r.id || r.isActive(r.peers[id]) })
 }
 
-func (r *Replica) isActive(p *progress) bool { return p != nil && p.silent < r.electionTicks }
+func (r *Replica) isActive(p *progress) bool { return p != nil && p.ticksSinceAnswer < r.electionTicks }
--- a/control/quorum/follower.go
+++ b/control/quorum/follower.go
@@ -4,7 +4,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// follow takes the sender as the leader of the current term.
+// follow records the leader of the current term and restarts the election
+// timer.
 func (r *Replica) follow(leader string) {
 	if r.role != Follower {
 		r.becomeFollower(r.term, leader)
@@ -19,7 +20,8 @@
 	})
 }
 
-// handleAppend stores the leader's entries where they follow the own log.
+// handleAppend appends the leader's entries if the preceding entry matches the
+// local log, and otherwise rejects them with a hint where to retry.
 func (r *Replica) handleAppend(m *wire.QuorumMessage) {
 	r.follow(m.GetFrom())
 	if m.GetIndex() < r.log.commit {
@@ -29,21 +31,21 @@
 	if !r.log.matches(m.GetIndex(), m.GetLogTerm()) {
 		r.send(&wire.QuorumMessage{
 			Kind: wire.QuorumKind_QUORUM_APPEND_ANSWER, To: m.GetFrom(), Term: r.term, Round: m.GetRound(),
-			Index: m.GetIndex(), Reject: true, Hint: r.lastCandidate(m.GetIndex()),
+			Index: m.GetIndex(), Reject: true, Hint: r.conflictHint(m.GetIndex()),
 		})
 		return
 	}
 	for _, e := range m.GetEntries() {
-		r.store(e)
+		r.storeEntry(e)
 	}
 	last := m.GetIndex() + uint64(len(m.GetEntries()))
 	r.log.commit = max(r.log.commit, min(m.GetCommit(), last))
 	r.answerAppend(m, last)
 }
 
-// store appends one entry, unless it is there already; an entry of another
-// term at its place is replaced with all that follow it.
-func (r *Replica) store(e *wire.LogEntry) {
+// storeEntry appends one entry unless the log already has it. A conflicting entry
+// at the same index is truncated together with all entries after it.
+func (r *Replica) storeEntry(e *wire.LogEntry) {
 	if e.GetIndex() <= r.log.lastIndex() {
 		if r.log.matches(e.GetIndex(), e.GetTerm()) {
 			return
@@ -57,9 +59,10 @@
 	}
 }
 
-// lastCandidate returns the last entry before an index that may match the
-// leader's log: entries of the conflicting term are skipped together.
-func (r *Replica) lastCandidate(index uint64) uint64 {
+// conflictHint returns the index of the last entry up to index that may match
+// the leader's log. It skips all entries of the conflicting term at once, so that
+// the leader needs one probe per term and not per entry.
+func (r *Replica) conflictHint(index uint64) uint64 {
 	if index > r.log.lastIndex() {
 		return r.log.lastIndex()
 	}
@@ -73,7 +76,8 @@
 	return index
 }
 
-// handleSnapshot replaces the log and the state by the leader's snapshot.
+// handleSnapshot installs the leader's snapshot in place of the log and the
+// state, unless the log already contains the snapshot's last entry.
 func (r *Replica) handleSnapshot(m *wire.QuorumMessage) {
 	r.follow(m.GetFrom())
 	snapshot := m.GetSnapshot()
@@ -82,7 +86,8 @@
 		return
 	}
 	if r.log.matches(snapshot.GetIndex(), snapshot.GetTerm()) {
-		// The entries after it may have been acknowledged: they stay.
+		// The entries after the snapshot may have been acknowledged to the
+		// leader and must be retained.
 		r.log.commit = snapshot.GetIndex()
 		r.answerAppend(m, snapshot.GetIndex())
 		return
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -12,17 +12,17 @@
 	heartbeatTicks = 2
 )
 
-// group is a set of replicas with a network that loses nothing unless it is
-// cut, and disks that are always in time.
+// group is a set of replicas with immediately durable writes and a reliable
+// network, except for partitioned replicas.
 type group struct {
-	replicas map[string]*quorum.Replica
-	order    []string
-	cut      map[string]bool
-	queue    []*wire.QuorumMessage
-	applied  map[string][]string
-	reads    []quorum.ReadResult
-	snapshot *wire.LogSnapshot // attached where a snapshot is sent
-	sent     int               // snapshots
+	replicas      map[string]*quorum.Replica
+	order         []string
+	partitioned   map[string]bool
+	queue         []*wire.QuorumMessage
+	applied       map[string][]string
+	reads         []quorum.ReadResult
+	snapshot      *wire.LogSnapshot // attached to snapshot messages
+	snapshotsSent int
 }
 
 func members(names ...string) []*wire.Member {
@@ -46,7 +46,7 @@
 }
 
 func newGroup(names ...string) *group {
-	g := &group{replicas: map[string]*quorum.Replica{}, cut: map[string]bool{}, applied: map[string][]string{}}
+	g := &group{replicas: map[string]*quorum.Replica{}, partitioned: map[string]bool{}, applied: map[string][]string{}}
 	for _, name := range names {
 		g.add(name, quorum.PersistentState{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{membersEntry(names...)}})
 	}
@@ -71,7 +71,7 @@
 		for _, m := range g.queue {
 			if m.GetKind() == wire.QuorumKind_QUORUM_SNAPSHOT && m.GetSnapshot() == nil {
 				m.Snapshot = g.snapshot
-				g.sent++
+				g.snapshotsSent++
 			}
 		}
 		g.reads = append(g.reads, out.Reads()...)
@@ -83,13 +83,13 @@
 	}
 }
 
-// deliver carries all messages until none is left.
+// deliver delivers messages until the queue is empty.
 func (g *group) deliver() {
 	for len(g.queue) > 0 {
 		m := g.queue[0]
 		g.queue = g.queue[1:]
 		to := g.replicas[m.GetTo()]
-		if to == nil || g.cut[m.GetFrom()] || g.cut[m.GetTo()] {
+		if to == nil || g.partitioned[m.GetFrom()] || g.partitioned[m.GetTo()] {
 			continue
 		}
 		to.Step(m)
@@ -107,21 +107,21 @@
 	}
 }
 
-// leader returns the replica that leads with the newest term.
+// leader returns the leader with the highest term, or nil.
 func (g *group) leader() *quorum.Replica {
-	var best *quorum.Replica
+	var newest *quorum.Replica
 	for _, name := range g.order {
 		r := g.replicas[name]
-		if r.Role() == quorum.Leader && (best == nil || r.Term() > best.Term()) {
-			best = r
+		if r.Role() == quorum.Leader && (newest == nil || r.Term() > newest.Term()) {
+			newest = r
 		}
 	}
-	return best
+	return newest
 }
 
 func (g *group) elect() *quorum.Replica {
 	for range 100 {
-		if r := g.leader(); r != nil && !g.cut[r.ID()] {
+		if r := g.leader(); r != nil && !g.partitioned[r.ID()] {
 			return r
 		}
 		g.tick(1)
--- a/control/quorum/leader.go
+++ b/control/quorum/leader.go
@@ -7,10 +7,12 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// ErrNotLeader means that the replica takes no proposals now.
+// ErrNotLeader means that the replica does not accept proposals: it is not the
+// leader, or it is transferring the leadership.
 var ErrNotLeader = errors.New("this replica is not the leader")
 
-// Propose appends a command to the log and returns its index and term.
+// Propose appends a command to the leader's log and returns its index and term.
+// The command is committed only once Take returns it in Committed.
 func (r *Replica) Propose(data []byte) (index, term uint64, err error) {
 	if r.role != Leader || r.transfer.active() {
 		return 0, 0, ErrNotLeader
@@ -29,7 +31,8 @@
 	return e
 }
 
-// syncPeers makes the known progress fit the membership.
+// syncPeers adds progress records for new members and drops those of removed
+// ones.
 func (r *Replica) syncPeers() {
 	if r.role != Leader {
 		return
@@ -41,45 +44,45 @@
 	}
 	for _, id := range r.members.others(r.id) {
 		if r.peers[id] == nil {
-			r.peers[id] = &progress{next: r.log.lastIndex() + 1, sending: probing, heartbeat: true}
+			r.peers[id] = &progress{next: r.log.lastIndex() + 1, state: probing, heartbeatDue: true}
 		}
 	}
 }
 
-func (r *Replica) requestHeartbeats() {
+func (r *Replica) scheduleHeartbeats() {
 	for _, p := range r.peers {
-		p.heartbeat = true
+		p.heartbeatDue = true
 	}
 }
 
-// sendAppends sends each replica what it lacks.
+// sendAppends sends entries and due heartbeats to all other members.
 func (r *Replica) sendAppends() {
 	for _, id := range r.members.others(r.id) {
 		p := r.peers[id]
-		for r.due(p) {
+		for r.shouldSend(p) {
 			r.sendAppend(id, p)
 		}
 	}
 }
 
-func (r *Replica) due(p *progress) bool {
-	if p.heartbeat {
+func (r *Replica) shouldSend(p *progress) bool {
+	if p.heartbeatDue {
 		return true
 	}
-	switch p.sending {
+	switch p.state {
 	case probing:
-		return !p.probed
+		return !p.probeSent
 	case replicating:
-		room := p.next-p.match <= r.maxInFlight
-		return room && (p.next <= r.log.lastIndex() || p.sentCommit < r.log.commit)
+		hasRoom := p.next-p.match <= r.maxInFlight
+		return hasRoom && (p.next <= r.log.lastIndex() || p.sentCommit < r.log.commit)
 	}
 	return false
 }
 
 func (r *Replica) sendAppend(id string, p *progress) {
-	heartbeat := p.heartbeat
-	p.heartbeat = false
-	if p.sending == snapshotting {
+	heartbeat := p.heartbeatDue
+	p.heartbeatDue = false
+	if p.state == snapshotting {
 		r.awaitSnapshot(id, p)
 		return
 	}
@@ -93,25 +96,27 @@
 		Kind: wire.QuorumKind_QUORUM_APPEND, To: id, Term: r.term, Index: previous, LogTerm: term,
 		Commit: r.log.commit, Round: r.reads.round,
 	}
-	if p.sending == replicating && (!heartbeat || p.next-p.match <= r.maxInFlight) {
+	if p.state == replicating && (!heartbeat || p.next-p.match <= r.maxInFlight) {
 		m.Entries = r.log.slice(p.next, r.maxBatchBytes)
 		p.next += uint64(len(m.GetEntries()))
 	}
 	p.sentCommit = r.log.commit
-	p.probed = true
+	p.probeSent = true
 	r.send(m)
 }
 
 func (r *Replica) sendSnapshot(id string, p *progress) {
-	p.sending, p.waited, p.probed = snapshotting, 0, true
+	p.state, p.snapshotTicks, p.probeSent = snapshotting, 0, true
 	r.send(&wire.QuorumMessage{Kind: wire.QuorumKind_QUORUM_SNAPSHOT, To: id, Term: r.term})
 }
 
-// awaitSnapshot keeps the replica from calling an election while it installs.
+// awaitSnapshot sends an empty append as a heartbeat, so that the replica does
+// not start an election while it installs a snapshot. After a timeout it returns
+// to probing.
 func (r *Replica) awaitSnapshot(id string, p *progress) {
-	p.waited += r.heartbeatTicks
-	if p.waited > snapshotTimeouts*r.electionTicks {
-		p.sending, p.probed = probing, false
+	p.snapshotTicks += r.heartbeatTicks
+	if p.snapshotTicks > snapshotTimeouts*r.electionTicks {
+		p.state, p.probeSent = probing, false
 	}
 	r.send(&wire.QuorumMessage{
 		Kind: wire.QuorumKind_QUORUM_APPEND, To: id, Term: r.term, Index: 0, LogTerm: 0,
@@ -124,35 +129,36 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.silent = 0
+	p.ticksSinceAnswer = 0
 	p.round = max(p.round, m.GetRound())
 	if m.GetReject() {
-		p.rejected(m.GetIndex(), m.GetHint())
+		p.reject(m.GetIndex(), m.GetHint())
 		return
 	}
-	p.acknowledged(m.GetIndex(), r.log.offset)
+	p.acknowledge(m.GetIndex(), r.log.offset)
 	r.advanceCommit()
 	r.continueTransfer()
 }
 
-// advanceCommit commits what a quorum holds. Entries of older terms are only
-// committed together with one of the current term: counting copies alone does
-// not protect them from a later leader.
+// advanceCommit moves the commit index to the highest entry that is durable on
+// a quorum of voters. Entries of earlier terms are committed only indirectly,
+// through an entry of the current term: a later leader may still overwrite them
+// even if they are replicated on a quorum (Raft, section 5.4.2).
 func (r *Replica) advanceCommit() {
-	var held []uint64
+	var matchIndexes []uint64
 	for _, id := range r.members.voters() {
 		switch {
 		case id == r.id:
-			held = append(held, r.log.stable)
+			matchIndexes = append(matchIndexes, r.log.stable)
 		default:
-			held = append(held, r.peers[id].match)
+			matchIndexes = append(matchIndexes, r.peers[id].match)
 		}
 	}
-	slices.Sort(held)
-	if len(held) == 0 {
+	slices.Sort(matchIndexes)
+	if len(matchIndexes) == 0 {
 		return
 	}
-	index := held[(len(held)-1)/2]
+	index := matchIndexes[(len(matchIndexes)-1)/2]
 	if term, ok := r.log.term(index); index > r.log.commit && ok && term == r.term {
 		r.log.commit = index
 	}
--- a/control/quorum/log.go
+++ b/control/quorum/log.go
@@ -6,16 +6,16 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// entryLog holds the entries since the last compaction.
+// entryLog is the in-memory log of the entries since the last compaction.
 type entryLog struct {
-	offset     uint64 // index of the last entry that was compacted away
+	offset     uint64 // index of the last compacted entry
 	offsetTerm uint64
 	entries    []*wire.LogEntry // entries[0] has index offset+1
 	commit     uint64
-	applied    uint64 // last index handed out to be applied
-	stable     uint64 // last index known to be durable here
-	taken      uint64 // last index handed out to be written
-	bytes      int    // size of the entries' data
+	applied    uint64 // last index returned by Take for application
+	stable     uint64 // last index that is durable on the local disk
+	writing    uint64 // last index returned by Take for writing
+	bytes      int    // total data size of entries
 }
 
 func newEntryLog(saved PersistentState) entryLog {
@@ -27,7 +27,7 @@
 		}
 	}
 	l.stable = l.lastIndex()
-	l.taken = l.stable
+	l.writing = l.stable
 	return l
 }
 
@@ -38,7 +38,8 @@
 	return term
 }
 
-// term returns the term of the entry at an index, if it is known.
+// term returns the term of the entry at an index, or false if the entry was
+// compacted or is beyond the end of the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -50,32 +51,33 @@
 }
 
 func (l *entryLog) matches(index, term uint64) bool {
-	have, ok := l.term(index)
-	return ok && have == term
+	local, ok := l.term(index)
+	return ok && local == term
 }
 
 func (l *entryLog) push(e *wire.LogEntry) {
 	if e.GetIndex() != l.lastIndex()+1 {
-		panic(fmt.Sprintf("quorum: entry %d does not follow %d", e.GetIndex(), l.lastIndex()))
+		panic(fmt.Sprintf("quorum: appended entry %d is not consecutive to last entry %d", e.GetIndex(), l.lastIndex()))
 	}
 	l.entries = append(l.entries, e)
 	l.bytes += len(e.GetData())
 }
 
-// truncate drops the entries from an index on.
+// truncate drops all entries with an index of from or higher.
 func (l *entryLog) truncate(from uint64) {
 	if from <= l.commit {
-		panic(fmt.Sprintf("quorum: entry %d is committed and cannot be replaced", from))
+		panic(fmt.Sprintf("quorum: cannot truncate log from committed entry %d", from))
 	}
 	for _, e := range l.entries[from-l.offset-1:] {
 		l.bytes -= len(e.GetData())
 	}
 	l.entries = l.entries[: from-l.offset-1 : from-l.offset-1]
 	l.stable = min(l.stable, from-1)
-	l.taken = min(l.taken, from-1)
+	l.writing = min(l.writing, from-1)
 }
 
-// slice returns entries from an index on, up to a size, at least one.
+// slice returns consecutive entries starting at index from, limited to maxBytes
+// of data. It returns at least one entry if there is any.
 func (l *entryLog) slice(from uint64, maxBytes int) []*wire.LogEntry {
 	if from > l.lastIndex() {
 		return nil
@@ -91,14 +93,15 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// compact drops the entries up to an index that was applied.
+// compact drops the entries up to and including an applied index. It copies the
+// remaining entries, so that the old array can be freed.
 func (l *entryLog) compact(upTo uint64) {
 	if upTo <= l.offset {
 		return
 	}
 	term, ok := l.term(upTo)
 	if !ok || upTo > l.applied {
-		panic(fmt.Sprintf("quorum: entry %d cannot be compacted", upTo))
+		panic(fmt.Sprintf("quorum: cannot compact log up to entry %d", upTo))
 	}
 	kept := append([]*wire.LogEntry(nil), l.entries[upTo-l.offset:]...)
 	l.offset, l.offsetTerm, l.entries, l.bytes = upTo, term, nil, 0
@@ -107,16 +110,17 @@
 	}
 }
 
-// reset replaces the whole log by a snapshot.
+// reset discards all entries and continues after the snapshot.
 func (l *entryLog) reset(snapshot *wire.LogSnapshot) {
 	index := snapshot.GetIndex()
 	*l = entryLog{
 		offset: index, offsetTerm: snapshot.GetTerm(),
-		commit: index, applied: index, stable: index, taken: index,
+		commit: index, applied: index, stable: index, writing: index,
 	}
 }
 
-// upToDate reports whether a candidate's log is at least as new as this one.
+// upToDate reports whether a candidate's log is at least as up to date as the
+// local log: a higher last term wins, then a higher last index.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
--- a/control/quorum/members.go
+++ b/control/quorum/members.go
@@ -6,25 +6,27 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Roles of a member.
+// Membership roles.
 const (
 	Voter   = "voter"
 	Learner = "learner"
 )
 
-// Errors of a change of membership.
+// Errors returned for a membership change.
 var (
-	ErrChangePending  = errors.New("another change of membership is not committed yet")
-	ErrNotReady       = errors.New("the leader has not committed an entry of its term yet")
-	ErrMember         = errors.New("the identity is a member already")
+	ErrChangePending  = errors.New("another membership change is not committed yet")
+	ErrNoCommitInTerm = errors.New("the leader has not committed an entry in its term yet")
+	ErrAlreadyMember  = errors.New("the identity is already a member")
 	ErrNotMember      = errors.New("the identity is not a member")
 	ErrNotLearner     = errors.New("the member is not a learner")
 	ErrNotCaughtUp    = errors.New("the learner has not caught up yet")
-	ErrNoActiveQuorum = errors.New("too few voters of the new membership answer, it would have no quorum")
-	ErrRemovesLeader  = errors.New("the leader cannot remove itself, transfer the leadership first")
+	ErrNoActiveQuorum = errors.New("too few voters of the new membership are reachable for a quorum")
+	ErrRemovesLeader  = errors.New("the leader cannot remove itself; transfer the leadership first")
 )
 
-// membership is the newest membership of the log and those it replaced.
+// membership holds the memberships in the log. The newest one is in effect as
+// soon as it is appended, committed or not; older ones are kept for truncation
+// and for snapshots.
 type membership struct {
 	history []membersAt // oldest first, never empty
 }
@@ -50,35 +52,35 @@
 	m.history = append(m.history, membersAt{index: index, members: members})
 }
 
-// truncate forgets the memberships of entries from an index on.
+// truncate drops the memberships of entries with an index of from or higher.
 func (m *membership) truncate(from uint64) {
 	for len(m.history) > 1 && m.newest().index >= from {
 		m.history = m.history[:len(m.history)-1]
 	}
 }
 
-// compact forgets memberships that were replaced at or before an index.
+// compact drops memberships that were superseded at or before an index.
 func (m *membership) compact(upTo uint64) {
 	for len(m.history) > 1 && m.history[1].index <= upTo {
 		m.history = m.history[1:]
 	}
 }
 
-// at returns the membership that an index was covered by.
+// at returns the membership in effect at an index.
 func (m *membership) at(index uint64) []*wire.Member {
 	members := m.history[0].members
-	for _, one := range m.history {
-		if one.index <= index {
-			members = one.members
+	for _, entry := range m.history {
+		if entry.index <= index {
+			members = entry.members
 		}
 	}
 	return members
 }
 
 func (m *membership) member(id string) *wire.Member {
-	for _, one := range m.newest().members {
-		if one.GetIdentity() == id {
-			return one
+	for _, member := range m.newest().members {
+		if member.GetIdentity() == id {
+			return member
 		}
 	}
 	return nil
@@ -86,7 +88,7 @@
 
 func (m *membership) isVoter(id string) bool { return m.member(id).GetRole() == Voter }
 
-// isOnlyVoter reports whether a replica needs no other one's vote.
+// isOnlyVoter reports whether a replica is the only voter and thus a quorum.
 func (m *membership) isOnlyVoter(id string) bool {
 	voters := m.voters()
 	return len(voters) == 1 && voters[0] == id
@@ -94,9 +96,9 @@
 
 func (m *membership) voters() []string {
 	var ids []string
-	for _, one := range m.newest().members {
-		if one.GetRole() == Voter {
-			ids = append(ids, one.GetIdentity())
+	for _, member := range m.newest().members {
+		if member.GetRole() == Voter {
+			ids = append(ids, member.GetIdentity())
 		}
 	}
 	return ids
@@ -104,15 +106,15 @@
 
 func (m *membership) others(self string) []string {
 	var ids []string
-	for _, one := range m.newest().members {
-		if one.GetIdentity() != self {
-			ids = append(ids, one.GetIdentity())
+	for _, member := range m.newest().members {
+		if member.GetIdentity() != self {
+			ids = append(ids, member.GetIdentity())
 		}
 	}
 	return ids
 }
 
-// isQuorum reports whether more than half of the voters satisfy a condition.
+// isQuorum reports whether a majority of the voters satisfies a condition.
 func (m *membership) isQuorum(satisfies func(id string) bool) bool {
 	voters := m.voters()
 	n := 0
@@ -124,11 +126,13 @@
 	return n > len(voters)/2
 }
 
-// Members returns the newest membership that this replica knows.
+// Members returns the newest membership in the local log, which may not be
+// committed. The caller must not modify it.
 func (r *Replica) Members() []*wire.Member { return r.members.newest().members }
 
-// MatchIndex returns the last entry that a member is known to hold, and whether it
-// was heard lately. Only the leader knows.
+// MatchIndex returns the last log index known to be durable on a member, and
+// whether the member answered within the election timeout. On replicas other than
+// the leader it returns values for the replica itself only.
 func (r *Replica) MatchIndex(id string) (index uint64, active bool) {
 	if id == r.id {
 		return r.log.stable, true
@@ -139,16 +143,16 @@
 	return 0, false
 }
 
-// AddLearner proposes a new member that receives the log and has no vote.
+// AddLearner proposes to add a member that replicates the log without a vote.
 func (r *Replica) AddLearner(m *wire.Member) (index, term uint64, err error) {
 	if r.members.member(m.GetIdentity()) != nil {
-		return 0, 0, ErrMember
+		return 0, 0, ErrAlreadyMember
 	}
 	learner := &wire.Member{Name: m.GetName(), Address: m.GetAddress(), Identity: m.GetIdentity(), Role: Learner}
-	return r.change(append(r.copyMembers(), learner))
+	return r.proposeMembers(append(r.copyMembers(), learner))
 }
 
-// Promote proposes to give a learner that has caught up a vote.
+// Promote proposes to make a caught-up learner a voter.
 func (r *Replica) Promote(id string) (index, term uint64, err error) {
 	if r.members.member(id) == nil {
 		return 0, 0, ErrNotMember
@@ -156,19 +160,19 @@
 	if r.members.isVoter(id) {
 		return 0, 0, ErrNotLearner
 	}
-	if p := r.peers[id]; p == nil || p.match+r.maxPromotionLag < r.log.commit || p.match == 0 || p.sending != replicating {
+	if p := r.peers[id]; p == nil || p.match+r.maxPromotionLag < r.log.commit || p.match == 0 || p.state != replicating {
 		return 0, 0, ErrNotCaughtUp
 	}
 	members := r.copyMembers()
-	for _, one := range members {
-		if one.GetIdentity() == id {
-			one.Role = Voter
+	for _, member := range members {
+		if member.GetIdentity() == id {
+			member.Role = Voter
 		}
 	}
-	return r.change(members)
+	return r.proposeMembers(members)
 }
 
-// Remove proposes to remove a member.
+// Remove proposes to remove a member other than the leader.
 func (r *Replica) Remove(id string) (index, term uint64, err error) {
 	if id == r.id {
 		return 0, 0, ErrRemovesLeader
@@ -177,29 +181,30 @@
 		return 0, 0, ErrNotMember
 	}
 	var members []*wire.Member
-	for _, one := range r.copyMembers() {
-		if one.GetIdentity() != id {
-			members = append(members, one)
+	for _, member := range r.copyMembers() {
+		if member.GetIdentity() != id {
+			members = append(members, member)
 		}
 	}
-	return r.change(members)
+	return r.proposeMembers(members)
 }
 
 func (r *Replica) copyMembers() []*wire.Member {
 	var members []*wire.Member
-	for _, one := range r.members.newest().members {
-		members = append(members, proto.Clone(one).(*wire.Member))
+	for _, member := range r.members.newest().members {
+		members = append(members, proto.Clone(member).(*wire.Member))
 	}
 	return members
 }
 
-// change proposes a membership that differs from the last one by one replica.
-func (r *Replica) change(members []*wire.Member) (index, term uint64, err error) {
+// proposeMembers appends a membership that differs from the current one by a
+// single replica. Quorums of the two overlap, so no joint consensus is needed.
+func (r *Replica) proposeMembers(members []*wire.Member) (index, term uint64, err error) {
 	switch {
 	case r.role != Leader || r.transfer.active():
 		return 0, 0, ErrNotLeader
 	case !r.committedInTerm():
-		return 0, 0, ErrNotReady
+		return 0, 0, ErrNoCommitInTerm
 	case r.members.newest().index > r.log.commit:
 		return 0, 0, ErrChangePending
 	case !r.wouldHaveQuorum(members):
@@ -209,7 +214,7 @@
 	return e.GetIndex(), e.GetTerm(), nil
 }
 
-// wouldHaveQuorum reports whether a quorum of a membership answers now.
+// wouldHaveQuorum reports whether a quorum of the proposed voters is active.
 func (r *Replica) wouldHaveQuorum(members []*wire.Member) bool {
 	next := membership{history: []membersAt{{members: members}}}
 	return next.isQuorum(func(id string) bool { return id == r.id || r.isActive(r.peers[id]) })
--- a/control/quorum/options.go
+++ b/control/quorum/options.go
@@ -4,8 +4,8 @@
 	electionTicks   int
 	heartbeatTicks  int
 	maxBatchBytes   int
-	maxInFlight     uint64 // entries sent to a replica and not acknowledged
-	maxPromotionLag uint64 // entries that a learner may lack when it is promoted
+	maxInFlight     uint64 // unacknowledged entries per replica
+	maxPromotionLag uint64 // entries that a learner may lag behind the commit index when promoted
 	seed            uint64
 }
 
@@ -16,23 +16,25 @@
 	}
 }
 
-// Option changes how a replica works.
+// Option configures a Replica.
 type Option func(*options)
 
-// WithElectionTicks sets the shortest election timeout.
+// WithElectionTicks sets the minimum election timeout in ticks. Each timeout is
+// drawn at random from this value up to twice as much.
 func WithElectionTicks(n int) Option { return func(o *options) { o.electionTicks = n } }
 
-// WithHeartbeatTicks sets the time between heartbeats.
+// WithHeartbeatTicks sets the heartbeat interval in ticks.
 func WithHeartbeatTicks(n int) Option { return func(o *options) { o.heartbeatTicks = n } }
 
-// WithMaxBatchBytes bounds the entries of one message.
+// WithMaxBatchBytes limits the data size of the entries in one append message.
 func WithMaxBatchBytes(n int) Option { return func(o *options) { o.maxBatchBytes = n } }
 
-// WithMaxInFlight bounds the entries that wait for a replica's answer.
+// WithMaxInFlight limits the unacknowledged entries in flight to a replica.
 func WithMaxInFlight(n uint64) Option { return func(o *options) { o.maxInFlight = n } }
 
-// WithMaxPromotionLag bounds what a learner may lack when it is promoted.
+// WithMaxPromotionLag limits by how many entries a learner may lag behind the
+// commit index when it is promoted.
 func WithMaxPromotionLag(n uint64) Option { return func(o *options) { o.maxPromotionLag = n } }
 
-// WithSeed sets the seed of the election timeouts.
+// WithSeed sets the seed of the random election timeouts.
 func WithSeed(seed uint64) Option { return func(o *options) { o.seed = seed } }
--- a/control/quorum/output.go
+++ b/control/quorum/output.go
@@ -6,73 +6,75 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Output is what a replica wants done. The writes come first and must be
-// durable before Messages are sent; Early may be sent before.
+// Output lists the pending work of a replica. Vote, Snapshot and Entries must be
+// durable before Messages are sent; EarlyMessages may be sent before.
 type Output struct {
-	vote      *wire.SavedVote
-	snapshot  *wire.LogSnapshot
-	entries   []*wire.LogEntry
-	early     []*wire.QuorumMessage
-	messages  []*wire.QuorumMessage
-	committed []*wire.LogEntry
-	reads     []ReadResult
+	vote          *wire.SavedVote
+	snapshot      *wire.LogSnapshot
+	entries       []*wire.LogEntry
+	earlyMessages []*wire.QuorumMessage
+	messages      []*wire.QuorumMessage
+	committed     []*wire.LogEntry
+	reads         []ReadResult
 }
 
-// Vote returns the term and vote to write, or nil.
+// Vote returns the term and vote to persist, or nil.
 func (o *Output) Vote() *wire.SavedVote { return o.vote }
 
-// Snapshot returns a snapshot that replaces log and state, or nil.
+// Snapshot returns a received snapshot that replaces the log and the state, or
+// nil.
 func (o *Output) Snapshot() *wire.LogSnapshot { return o.snapshot }
 
-// Entries returns the entries to write. They replace all entries from the
-// first one's index on.
+// Entries returns the log entries to persist. They overwrite the stored log from
+// the index of the first one.
 func (o *Output) Entries() []*wire.LogEntry { return o.entries }
 
-// EarlyMessages returns messages that need not wait for the writes.
-func (o *Output) EarlyMessages() []*wire.QuorumMessage { return o.early }
+// EarlyMessages returns messages that can be sent in parallel with the writes,
+// such as a leader's appends.
+func (o *Output) EarlyMessages() []*wire.QuorumMessage { return o.earlyMessages }
 
-// Messages returns messages to send once the writes are durable. A snapshot
-// message carries no state: the sender attaches its newest snapshot.
+// Messages returns messages to send once the writes are durable. Snapshot messages
+// have no snapshot attached: the transport attaches its newest one.
 func (o *Output) Messages() []*wire.QuorumMessage { return o.messages }
 
-// Committed returns the entries to apply, in order.
+// Committed returns the committed entries to apply, in log order.
 func (o *Output) Committed() []*wire.LogEntry { return o.committed }
 
-// Reads returns the reads that were decided.
+// Reads returns the results of completed read requests.
 func (o *Output) Reads() []ReadResult { return o.reads }
 
-// NeedsWrite reports whether there is anything to make durable.
+// NeedsWrite reports whether there is anything to persist.
 func (o *Output) NeedsWrite() bool {
 	return o.vote != nil || o.snapshot != nil || len(o.entries) > 0
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no pending work.
 func (o *Output) Empty() bool {
-	return !o.NeedsWrite() && len(o.early)+len(o.messages)+len(o.committed)+len(o.reads) == 0
+	return !o.NeedsWrite() && len(o.earlyMessages)+len(o.messages)+len(o.committed)+len(o.reads) == 0
 }
 
-// Take returns what is to be done now. Once the writes are durable, and before
-// any other call, the caller calls Persisted.
+// Take returns and clears the pending work. Once the writes are durable, and
+// before any other method is used, Persisted must be called.
 func (r *Replica) Take() Output {
 	early := r.role == Leader && !r.voteDirty
-	sent := len(r.out.messages)
+	queued := len(r.out.messages)
 	if r.role == Leader {
 		r.startReadRound()
 		r.sendAppends()
-		r.reads.decide(r)
+		r.reads.confirm(r)
 	}
 	out := r.out
 	r.out = Output{}
 	if early {
-		out.early = out.messages[sent:]
-		out.messages = out.messages[:sent:sent]
+		out.earlyMessages = out.messages[queued:]
+		out.messages = out.messages[:queued:queued]
 	}
 	if r.voteDirty {
 		out.vote = &wire.SavedVote{Term: r.term, Vote: r.vote}
 		r.voteDirty = false
 	}
-	out.entries = r.log.slice(r.log.taken+1, math.MaxInt)
-	r.log.taken = r.log.lastIndex()
+	out.entries = r.log.slice(r.log.writing+1, math.MaxInt)
+	r.log.writing = r.log.lastIndex()
 	out.committed = r.takeCommitted()
 	return out
 }
@@ -88,9 +90,9 @@
 	return committed
 }
 
-// Persisted tells that all writes of the last Take are durable.
+// Persisted confirms that all writes of the last Take are durable.
 func (r *Replica) Persisted() {
-	r.log.stable = r.log.taken
+	r.log.stable = r.log.writing
 	if r.role == Leader {
 		r.advanceCommit()
 	}
--- a/control/quorum/progress.go
+++ b/control/quorum/progress.go
@@ -1,51 +1,53 @@
 package quorum
 
-// sending is how a leader sends entries to a replica.
-type sending string
+// progressState is the mode in which a leader replicates to another member.
+type progressState string
 
 const (
-	probing      sending = "probing"      // one message at a time until the logs match
-	replicating  sending = "replicating"  // many messages in flight
-	snapshotting sending = "snapshotting" // waits for a snapshot to be installed
+	probing      progressState = "probing"      // one append at a time until the logs match
+	replicating  progressState = "replicating"  // pipelined appends, optimistic next index
+	snapshotting progressState = "snapshotting" // no appends until a snapshot is installed
 )
 
-// snapshotTimeouts is how many election timeouts a leader waits for the answer
-// to a snapshot before it probes again.
+// snapshotTimeouts is the number of election timeouts that a leader waits for the
+// acknowledgement of a snapshot before it returns to probing.
 const snapshotTimeouts = 20
 
-// progress is what a leader knows of another replica.
+// progress is the leader's replication state for another member.
 type progress struct {
-	match      uint64 // last entry known to be durable there
-	next       uint64 // next entry to send
-	sending    sending
-	probed     bool // a probe is on its way
-	silent     int  // ticks since it was heard
-	round      uint64
-	sentCommit uint64
-	heartbeat  bool // a heartbeat is due
-	waited     int  // heartbeats since the snapshot was sent
+	match            uint64 // highest index known to be durable on the member
+	next             uint64 // next index to send
+	state            progressState
+	probeSent        bool // a probe is in flight
+	ticksSinceAnswer int  // ticks since the last append answer
+	round            uint64
+	sentCommit       uint64
+	heartbeatDue     bool // a heartbeat is due
+	snapshotTicks    int  // ticks since the snapshot was sent, counted per heartbeat
 }
 
-// acknowledged moves on to a match.
-func (p *progress) acknowledged(match, offset uint64) {
+// acknowledge records a match and switches to replicating, unless a snapshot is
+// still needed: the match is then before the leader's log offset.
+func (p *progress) acknowledge(match, offset uint64) {
 	if match > p.match {
 		p.match = match
 	}
 	p.next = max(p.next, p.match+1)
-	if p.sending == snapshotting && p.match < offset {
+	if p.state == snapshotting && p.match < offset {
 		return
 	}
-	p.sending, p.probed = replicating, false
+	p.state, p.probeSent = replicating, false
 }
 
-// rejected falls back to probing, from the last entry that may match.
-func (p *progress) rejected(at, hint uint64) {
-	if at <= p.match || p.sending == snapshotting {
+// reject falls back to probing from the last entry that may match. It ignores
+// stale rejections.
+func (p *progress) reject(index, hint uint64) {
+	if index <= p.match || p.state == snapshotting {
 		return
 	}
-	if p.sending == probing && at != p.next-1 {
+	if p.state == probing && index != p.next-1 {
 		return
 	}
-	p.next = max(min(at, hint+1), p.match+1)
-	p.sending, p.probed = probing, false
+	p.next = max(min(index, hint+1), p.match+1)
+	p.state, p.probeSent = probing, false
 }
--- a/control/quorum/quorum.go
+++ b/control/quorum/quorum.go
@@ -1,13 +1,15 @@
-// Package quorum is the replicated log of the control hosts as a pure step
-// function: it reads no clock, opens no socket and writes no file. Ticks and
-// messages go in; what must be made durable, sent and applied comes out.
+// Package quorum implements the replicated log of the control hosts with a
+// Raft-like consensus protocol. It is a pure step function that does no I/O and
+// reads no clock: its inputs are ticks and messages, its outputs the writes to
+// persist, the messages to send and the entries to apply.
 //
-// The protocol has terms with at most one leader each, a pre-vote round, a
-// leader that steps down when it no longer hears a quorum, commits by a quorum
-// of voters, leadership transfer, confirmed reads, snapshots for replicas that
-// are far behind, learners, and changes of membership by one replica at a
-// time. A replica is named by the identity of its data folder, so that a host
-// that lost its disk cannot vote in the name of the replica it once was.
+// Each term has at most one leader. The protocol has a pre-vote round, a leader
+// that steps down when it loses contact with a quorum, commitment by a quorum of
+// voters, leadership transfer, linearizable reads by read index, snapshots for
+// replicas that lag far behind, learners, and single-server membership changes.
+// A replica is identified by the identity of its data folder, not by the host
+// name, so that a host whose disk was replaced cannot vote a second time as the
+// replica it was before.
 //
 // Usage:
 //
@@ -31,10 +33,10 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Role is what a replica does in the current term.
+// Role is the role of a replica in the current term.
 type Role string
 
-// Roles of a replica.
+// Replica roles.
 const (
 	Follower     Role = "follower"
 	PreCandidate Role = "pre-candidate"
@@ -42,14 +44,15 @@
 	Leader       Role = "leader"
 )
 
-// PersistentState is the durable state that a replica starts from.
+// PersistentState is the durable state from which a replica is started.
 type PersistentState struct {
 	Vote     *wire.SavedVote
-	Snapshot *wire.LogSnapshot // the state is not needed here
+	Snapshot *wire.LogSnapshot // only the metadata is used
 	Entries  []*wire.LogEntry
 }
 
-// Replica is one member of the group. It is used by one goroutine.
+// Replica is one member of the consensus group. It is not safe for concurrent
+// use.
 type Replica struct {
 	options
 	id     string
@@ -61,8 +64,8 @@
 	log     entryLog
 	members membership
 
-	elapsed          int // ticks since the leader was heard, or since a transfer began
-	timeout          int // ticks until the next election, drawn anew each time
+	elapsed          int // ticks since contact with the leader, or on the leader since a transfer began
+	timeout          int // randomized election timeout in ticks
 	heartbeatElapsed int
 	random           uint64
 
@@ -75,7 +78,8 @@
 	voteDirty bool
 }
 
-// New returns a replica with the given identity.
+// New returns a follower with the given identity that continues from the saved
+// state.
 func New(id string, saved PersistentState, opts ...Option) *Replica {
 	r := &Replica{options: defaultOptions(), id: id, role: Follower}
 	for _, opt := range opts {
@@ -89,28 +93,30 @@
 	return r
 }
 
-// ID returns the replica's identity.
+// ID returns the identity of the replica.
 func (r *Replica) ID() string { return r.id }
 
 // Term returns the current term.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Role returns what the replica does in the current term.
+// Role returns the role of the replica in the current term.
 func (r *Replica) Role() Role { return r.role }
 
-// Leader returns the identity of the current leader, empty if unknown.
+// Leader returns the identity of the current leader, or an empty string if it
+// is unknown.
 func (r *Replica) Leader() string { return r.leader }
 
 // CommitIndex returns the index of the last entry known to be committed.
 func (r *Replica) CommitIndex() uint64 { return r.log.commit }
 
-// AppliedIndex returns the index of the last entry handed out to be applied.
+// AppliedIndex returns the index of the last entry that Take returned for
+// application.
 func (r *Replica) AppliedIndex() uint64 { return r.log.applied }
 
-// LastIndex returns the index of the last entry of the log.
+// LastIndex returns the index of the last entry in the log.
 func (r *Replica) LastIndex() uint64 { return r.log.lastIndex() }
 
-// Tick tells the replica that one tick has passed.
+// Tick advances the logical clock by one tick.
 func (r *Replica) Tick() {
 	r.elapsed++
 	if r.role == Leader {
@@ -133,20 +139,21 @@
 	r.heartbeatElapsed++
 	if r.heartbeatElapsed >= r.heartbeatTicks {
 		r.heartbeatElapsed = 0
-		r.requestHeartbeats()
+		r.scheduleHeartbeats()
 	}
 	for _, p := range r.peers {
-		p.silent++
+		p.ticksSinceAnswer++
 	}
 	if r.elapsed >= r.electionTicks {
 		r.transfer.clear()
 	}
-	if !r.heardQuorum() {
+	if !r.hasActiveQuorum() {
 		r.becomeFollower(r.term, "")
 	}
 }
 
-// Step takes one message of another replica.
+// Step handles a message from another replica. Messages to other recipients are
+// ignored.
 func (r *Replica) Step(m *wire.QuorumMessage) {
 	if m.GetTo() != r.id || m.GetFrom() == r.id {
 		return
@@ -162,9 +169,9 @@
 	}
 	switch m.GetKind() {
 	case wire.QuorumKind_QUORUM_PRE_VOTE:
-		r.answerPreVote(m)
+		r.handlePreVote(m)
 	case wire.QuorumKind_QUORUM_VOTE:
-		r.answerVote(m)
+		r.handleVote(m)
 	case wire.QuorumKind_QUORUM_PRE_VOTE_ANSWER, wire.QuorumKind_QUORUM_VOTE_ANSWER:
 		r.countVote(m)
 	case wire.QuorumKind_QUORUM_APPEND:
@@ -178,19 +185,21 @@
 	}
 }
 
-// stepNewerTerm adopts the term of a message where its kind asks for it. It
-// reports whether the message is to be handled further.
+// stepNewerTerm handles the term of a message from a newer term. It becomes a
+// follower in that term, except for pre-votes, granted pre-votes, and vote requests
+// that arrive while a leader is active and are not part of a transfer. It reports
+// whether the message needs further handling.
 func (r *Replica) stepNewerTerm(m *wire.QuorumMessage) bool {
 	switch m.GetKind() {
 	case wire.QuorumKind_QUORUM_PRE_VOTE:
-		return !r.leaderHeard()
+		return !r.hasActiveLeader()
 	case wire.QuorumKind_QUORUM_PRE_VOTE_ANSWER:
 		if m.GetReject() {
 			r.becomeFollower(m.GetTerm(), "")
 		}
 		return !m.GetReject()
 	case wire.QuorumKind_QUORUM_VOTE:
-		if r.leaderHeard() && !m.GetTransfer() {
+		if r.hasActiveLeader() && !m.GetTransfer() {
 			return false
 		}
 	}
@@ -198,7 +207,8 @@
 	return true
 }
 
-// stepOlderTerm lets a deposed leader or a late candidate learn the term.
+// stepOlderTerm answers a message from an older term, so that a deposed leader or
+// a pre-candidate learns the current term.
 func (r *Replica) stepOlderTerm(m *wire.QuorumMessage) {
 	switch m.GetKind() {
 	case wire.QuorumKind_QUORUM_APPEND, wire.QuorumKind_QUORUM_SNAPSHOT:
@@ -208,8 +218,9 @@
 	}
 }
 
-// leaderHeard reports whether a leader was heard within the election timeout.
-func (r *Replica) leaderHeard() bool {
+// hasActiveLeader reports whether this replica leads or had contact with the leader
+// within the election timeout.
+func (r *Replica) hasActiveLeader() bool {
 	return r.role == Leader || (r.leader != "" && r.elapsed < r.electionTicks)
 }
 
@@ -227,8 +238,8 @@
 	r.resetTimeout()
 }
 
-// resetTimeout draws the next election timeout from one to two times the
-// election ticks.
+// resetTimeout restarts the election timer with a random timeout between one and
+// two times electionTicks.
 func (r *Replica) resetTimeout() {
 	r.elapsed = 0
 	r.random ^= r.random << 13
@@ -237,7 +248,7 @@
 	r.timeout = r.electionTicks + int(r.random%uint64(r.electionTicks))
 }
 
-// send queues a message that may leave once the writes before it are durable.
+// send queues a message to be sent once the preceding writes are durable.
 func (r *Replica) send(m *wire.QuorumMessage) {
 	m.From = r.id
 	r.out.messages = append(r.out.messages, m)
--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestVoteIsKeptOverARestart(t *testing.T) {
+func TestVoteSurvivesARestart(t *testing.T) {
 	saved := quorum.PersistentState{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{membersEntry("a", "b", "c")}}
 	vote := func(from string) *wire.QuorumMessage {
 		return &wire.QuorumMessage{Kind: wire.QuorumKind_QUORUM_VOTE, From: from, To: "c", Term: 2, Index: 1, LogTerm: 1}
@@ -33,19 +33,20 @@
 	must.False(t, out.Messages()[0].GetReject())
 	must.SliceEmpty(t, out.EarlyMessages())
 	saved.Vote = out.Vote()
-	again := newReplica("c", saved)
-	again.Step(vote("b"))
-	out = again.Take()
+	restarted := newReplica("c", saved)
+	restarted.Step(vote("b"))
+	out = restarted.Take()
 	must.True(t, out.Messages()[0].GetReject())
 }
 
-// An entry of an older term may be on a quorum and still be replaced.
+// An entry of an earlier term that is replicated on a quorum can still be
+// overwritten by a later leader.
 func TestOlderTermIsNotCommittedByCounting(t *testing.T) {
 	saved := quorum.PersistentState{
 		Vote:    &wire.SavedVote{Term: 3},
 		Entries: []*wire.LogEntry{membersEntry("a", "b", "c"), {Index: 2, Term: 2, Data: []byte("old")}},
 	}
-	g := &group{replicas: map[string]*quorum.Replica{}, cut: map[string]bool{}, applied: map[string][]string{}}
+	g := &group{replicas: map[string]*quorum.Replica{}, partitioned: map[string]bool{}, applied: map[string][]string{}}
 	g.add("a", saved)
 	a := g.replicas["a"]
 	for a.Role() != quorum.Leader {
@@ -53,7 +54,7 @@
 		out := a.Take()
 		a.Persisted()
 		for _, m := range out.Messages() {
-			a.Step(granted(m))
+			a.Step(grantVote(m))
 		}
 	}
 	g.flush("a")
@@ -66,8 +67,8 @@
 	must.Eq(t, 3, a.CommitIndex())
 }
 
-// granted answers a request for a vote.
-func granted(m *wire.QuorumMessage) *wire.QuorumMessage {
+// grantVote returns the granting answer to a vote or pre-vote request.
+func grantVote(m *wire.QuorumMessage) *wire.QuorumMessage {
 	kind := wire.QuorumKind_QUORUM_VOTE_ANSWER
 	if m.GetKind() == wire.QuorumKind_QUORUM_PRE_VOTE {
 		kind = wire.QuorumKind_QUORUM_PRE_VOTE_ANSWER
@@ -75,11 +76,11 @@
 	return &wire.QuorumMessage{Kind: kind, From: m.GetTo(), To: m.GetFrom(), Term: m.GetTerm()}
 }
 
-func TestCutOffLeaderConfirmsNoReadAndStepsDown(t *testing.T) {
+func TestIsolatedLeaderConfirmsNoReadAndStepsDown(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	must.NoError(t, g.propose("one"))
 	old := g.leader()
-	g.cut[old.ID()] = true
+	g.partitioned[old.ID()] = true
 	old.ReadIndex(7)
 	g.tick(electionTicks)
 	must.Eq(t, quorum.Follower, old.Role())
@@ -102,25 +103,26 @@
 	must.Eq(t, leader.CommitIndex(), g.reads[0].Index())
 }
 
-func TestCutOffFollowerDoesNotDisturb(t *testing.T) {
+func TestIsolatedFollowerForcesNoElection(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	leader := g.elect()
 	g.tick(electionTicks)
 	term := leader.Term()
-	away := "a"
+	isolated := "a"
 	if leader.ID() == "a" {
-		away = "b"
+		isolated = "b"
 	}
-	g.cut[away] = true
+	g.partitioned[isolated] = true
 	g.tick(10 * electionTicks)
-	must.Eq(t, term, g.replicas[away].Term())
-	delete(g.cut, away)
+	must.Eq(t, term, g.replicas[isolated].Term())
+	delete(g.partitioned, isolated)
 	g.tick(2 * electionTicks)
 	must.Eq(t, term, leader.Term())
 	must.Eq(t, quorum.Leader, leader.Role())
 }
 
-// Entries after a snapshot's index may have been acknowledged.
+// Entries after the snapshot index may have been acknowledged to the leader and
+// must not be dropped.
 func TestSnapshotKeepsMatchingEntries(t *testing.T) {
 	entries := []*wire.LogEntry{membersEntry("a", "b", "c")}
 	for index := uint64(2); index <= 5; index++ {
@@ -137,7 +139,7 @@
 	must.Nil(t, out.Snapshot())
 }
 
-func TestBlankReplicaNeverStands(t *testing.T) {
+func TestBlankReplicaNeverCampaigns(t *testing.T) {
 	r := newReplica("a", quorum.PersistentState{})
 	for range 10 * electionTicks {
 		r.Tick()
@@ -161,16 +163,16 @@
 	must.NoError(t, g.propose("three"))
 }
 
-func TestTransferToASilentReplicaIsGivenUp(t *testing.T) {
+func TestTransferToAnUnreachableReplicaIsAborted(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	leader := g.elect()
 	g.tick(electionTicks)
-	silent := "a"
+	unreachable := "a"
 	if leader.ID() == "a" {
-		silent = "b"
+		unreachable = "b"
 	}
-	g.cut[silent] = true
-	must.NoError(t, leader.Transfer(silent))
+	g.partitioned[unreachable] = true
+	must.NoError(t, leader.Transfer(unreachable))
 	g.tick(electionTicks + 1)
 	must.NoError(t, g.propose("one"))
 	must.Eq(t, quorum.Leader, leader.Role())
@@ -200,7 +202,7 @@
 	must.True(t, g.replicas["d"].IsVoter())
 }
 
-// Removing a voter that works while another is down would leave no quorum.
+// Removing a healthy voter while another one is down would leave no active quorum.
 func TestRemovalThatLeavesNoQuorumIsRefused(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	leader := g.elect()
@@ -212,7 +214,7 @@
 			break
 		}
 	}
-	g.cut[others[0]] = true
+	g.partitioned[others[0]] = true
 	g.tick(electionTicks)
 	_, _, err := leader.Remove(others[1])
 	must.ErrorIs(t, err, quorum.ErrNoActiveQuorum)
@@ -220,11 +222,11 @@
 	must.NoError(t, err)
 }
 
-func TestNewLeaderChangesNothingBeforeItsFirstCommit(t *testing.T) {
+func TestNewLeaderRefusesMembershipChangesBeforeItsFirstCommit(t *testing.T) {
 	g := newGroup("a", "b", "c")
 	first := g.elect()
 	g.tick(electionTicks)
-	g.cut[first.ID()] = true
+	g.partitioned[first.ID()] = true
 	for g.leader() == nil || g.leader() == first {
 		for _, name := range g.order {
 			g.replicas[name].Tick()
@@ -233,18 +235,18 @@
 		if next := g.leader(); next != nil && next != first {
 			break
 		}
-		g.step()
+		g.deliverUntilLeader()
 	}
 	_, _, err := g.leader().AddLearner(&wire.Member{Identity: "d"})
-	must.ErrorIs(t, err, quorum.ErrNotReady)
+	must.ErrorIs(t, err, quorum.ErrNoCommitInTerm)
 }
 
-// step carries messages until one of them makes a leader.
-func (g *group) step() {
-	for len(g.queue) > 0 && (g.leader() == nil || g.cut[g.leader().ID()]) {
+// deliverUntilLeader delivers messages until a replica that is not partitioned leads.
+func (g *group) deliverUntilLeader() {
+	for len(g.queue) > 0 && (g.leader() == nil || g.partitioned[g.leader().ID()]) {
 		m := g.queue[0]
 		g.queue = g.queue[1:]
-		if g.cut[m.GetFrom()] || g.cut[m.GetTo()] {
+		if g.partitioned[m.GetFrom()] || g.partitioned[m.GetTo()] {
 			continue
 		}
 		g.replicas[m.GetTo()].Step(m)
@@ -259,20 +261,20 @@
 	if leader.ID() == "a" {
 		behind = "b"
 	}
-	g.cut[behind] = true
+	g.partitioned[behind] = true
 	for range 20 {
 		must.NoError(t, g.propose("x"))
 	}
 	g.snapshot = leader.SnapshotMeta()
 	leader.Compact(g.snapshot.GetIndex(), 0)
-	delete(g.cut, behind)
+	delete(g.partitioned, behind)
 	g.tick(electionTicks)
-	must.Eq(t, 1, g.sent)
+	must.Eq(t, 1, g.snapshotsSent)
 	must.Eq(t, leader.CommitIndex(), g.replicas[behind].CommitIndex())
 }
 
-// Messages that no replica would send must not break one.
-func TestStrangeMessagesDoNoHarm(t *testing.T) {
+// Messages that no correct replica sends must not break a leader.
+func TestUnexpectedMessagesAreHarmless(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup("a", "b", "c")
 		must.NoError(t, g.propose("one"))
--- a/control/state/changed.go
+++ b/control/state/changed.go
@@ -1,8 +1,8 @@
 package state
 
-// Changed returns a channel that is closed when another version comes in force
-// or a record of an instance changes. Whoever waits asks for the channel first
-// and reads the state then.
+// Changed returns a channel that is closed when another version comes into force
+// or an instance record changes. To miss no change, get the channel before reading
+// the state.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -12,17 +12,17 @@
 	return m.changed
 }
 
-// mark says how far the state that watchers wait for has come.
-type mark struct{ version, instances uint64 }
+// watchRevision is the revision of the state that watchers wait on.
+type watchRevision struct{ version, instances uint64 }
 
-func (m *Machine) mark() mark {
+func (m *Machine) watchRevision() watchRevision {
 	version, _ := m.rules.newest()
-	return mark{version: version.GetNumber(), instances: m.instances.revision}
+	return watchRevision{version: version.GetNumber(), instances: m.instances.revision}
 }
 
-// announce wakes those who wait if the state went on from a mark.
-func (m *Machine) announce(before mark) {
-	if m.mark() == before || m.changed == nil {
+// notifyWatchers wakes the watchers if the state has changed since a revision.
+func (m *Machine) notifyWatchers(before watchRevision) {
+	if m.watchRevision() == before || m.changed == nil {
 		return
 	}
 	close(m.changed)
--- a/control/state/claims.go
+++ b/control/state/claims.go
@@ -6,14 +6,14 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Bounds of the claims. All times run on the group's clock.
+// Limits on claims. All durations are measured on the group's clock.
 const (
 	defaultRetention  = 24 * time.Hour
 	maxRetention      = 7 * 24 * time.Hour
-	maxStoredBody     = 64 << 10 // bytes of one answer
-	maxStoredAnswers  = 32 << 20 // bytes of all answers
-	maxClaimBytes     = 72 << 20 // bytes of all claims and releases without answers
-	claimOverhead     = 320      // bytes beside the strings
+	maxStoredBody     = 64 << 10 // bytes of one stored answer
+	maxStoredAnswers  = 32 << 20 // bytes of all stored answers
+	maxClaimBytes     = 72 << 20 // bytes of all claims and releases, excluding answers
+	claimOverhead     = 320      // bytes per claim, excluding its strings
 	releasedRetention = 10 * time.Minute
 )
 
@@ -25,7 +25,7 @@
 	unknown   claimState = "unknown"
 )
 
-// claim is one attempt's right to run a request.
+// claim is the exclusive right of one attempt to run an at-most-once request.
 type claim struct {
 	key         claimKey
 	holder      string
@@ -35,7 +35,7 @@
 	expiresAt   int64
 	state       claimState
 	answer      *wire.StoredAnswer
-	place       int // in its expiry bucket
+	bucketIndex int // position in its expiry bucket
 }
 
 func (c *claim) bytes() int {
@@ -62,23 +62,23 @@
 func (k claimKey) bytes() int { return len(k.service) + len(k.caller) + len(k.idempotencyKey) }
 
 func (k claimKey) compare(other claimKey) int {
-	return compareAll(k.service, other.service, k.caller, other.caller, k.idempotencyKey, other.idempotencyKey)
+	return comparePairs(k.service, other.service, k.caller, other.caller, k.idempotencyKey, other.idempotencyKey)
 }
 
-func (k claimKey) message() *wire.ClaimKey {
+func (k claimKey) toProto() *wire.ClaimKey {
 	return &wire.ClaimKey{Service: k.service, Caller: k.caller, IdempotencyKey: k.idempotencyKey}
 }
 
-func keyOf(k *wire.ClaimKey) claimKey {
+func keyFromProto(k *wire.ClaimKey) claimKey {
 	return claimKey{service: k.GetService(), caller: k.GetCaller(), idempotencyKey: k.GetIdempotencyKey()}
 }
 
-// claimsState holds the claims and the releases.
+// claimsState holds the claims and the released claim ids.
 type claimsState struct {
 	byKey       map[claimKey]*claim
-	expiry      expiry[*claim]
+	expiry      expiryQueue[*claim]
 	releases    releases
-	names       names
+	strings     interner
 	claimBytes  int
 	answerBytes int
 	counts      map[claimState]int
@@ -86,10 +86,10 @@
 
 func (s *claimsState) reset() {
 	*s = claimsState{
-		byKey:  map[claimKey]*claim{},
-		expiry: newExpiry(func(c *claim, place int) { c.place = place }),
-		names:  names{},
-		counts: map[claimState]int{},
+		byKey:   map[claimKey]*claim{},
+		expiry:  newExpiryQueue(func(c *claim, index int) { c.bucketIndex = index }),
+		strings: interner{},
+		counts:  map[claimState]int{},
 	}
 	s.releases.reset()
 }
@@ -98,37 +98,37 @@
 	return s.claimBytes+s.releases.bytes+more > maxClaimBytes
 }
 
-// claim grants a key to the first attempt; later attempts learn its state. An
-// attempt that asks again gets the same grant, but for one that was released:
-// its holder has given up and would never complete it.
+// claim grants a key to the first attempt; later attempts get the state of that
+// claim. A repeated request of the holder gets the same grant, unless the claim was
+// released: its holder has given up and would never complete it.
 func (s *claimsState) claim(req *wire.ClaimRequest, wall, clock int64) *wire.ClaimResponse {
-	k := keyOf(req.GetKey())
+	k := keyFromProto(req.GetKey())
 	if old, ok := s.byKey[k]; ok && old.claimID == req.GetClaimId() {
-		return old.answerTo(req)
+		return old.respond(req)
 	}
 	if s.releases.has(k, req.GetClaimId()) {
 		return &wire.ClaimResponse{State: wire.ClaimState_CLAIM_RELEASED}
 	}
 	if old, ok := s.byKey[k]; ok {
-		return old.answerTo(req)
+		return old.respond(req)
 	}
 	c := &claim{
-		key: s.names.key(k), holder: s.names.one(req.GetHolder()), claimID: req.GetClaimId(),
+		key: s.strings.internKey(k), holder: s.strings.intern(req.GetHolder()), claimID: req.GetClaimId(),
 		fingerprint: string(req.GetFingerprint()), claimedAt: wall, expiresAt: clock + int64(retention(req)), state: held,
 	}
 	if s.full(c.bytes()) {
 		return &wire.ClaimResponse{State: wire.ClaimState_CLAIM_FULL}
 	}
 	s.add(c)
-	return c.answerTo(req)
+	return c.respond(req)
 }
 
 func retention(req *wire.ClaimRequest) time.Duration {
-	asked := time.Duration(req.GetRetainMs()) * time.Millisecond
-	if asked <= 0 {
+	requested := time.Duration(req.GetRetainMs()) * time.Millisecond
+	if requested <= 0 {
 		return defaultRetention
 	}
-	return min(asked, maxRetention)
+	return min(requested, maxRetention)
 }
 
 func (s *claimsState) add(c *claim) {
@@ -139,13 +139,13 @@
 	s.expiry.add(c, c.expiresAt)
 }
 
-// remove forgets a claim that still stands in the expiry.
+// remove deletes a claim that has not expired, also from the expiry queue.
 func (s *claimsState) remove(c *claim) {
-	s.expiry.remove(c.expiresAt, c.place)
-	s.forget(c)
+	s.expiry.remove(c.expiresAt, c.bucketIndex)
+	s.drop(c)
 }
 
-func (s *claimsState) forget(c *claim) {
+func (s *claimsState) drop(c *claim) {
 	delete(s.byKey, c.key)
 	s.claimBytes -= c.bytes()
 	s.answerBytes -= answerBytes(c.answer)
@@ -158,7 +158,7 @@
 	c.state = to
 }
 
-func (c *claim) answerTo(req *wire.ClaimRequest) *wire.ClaimResponse {
+func (c *claim) respond(req *wire.ClaimRequest) *wire.ClaimResponse {
 	response := &wire.ClaimResponse{Holder: c.holder, ClaimedAt: c.claimedAt, Unknown: c.state == unknown}
 	switch {
 	case c.fingerprint != string(req.GetFingerprint()):
@@ -174,28 +174,28 @@
 	return response
 }
 
-// complete stores the answer of the attempt that holds the key.
+// complete stores the answer of the attempt that holds the claim.
 func (s *claimsState) complete(req *wire.CompleteRequest) *wire.CompleteResponse {
-	c, ok := s.byKey[keyOf(req.GetKey())]
+	c, ok := s.byKey[keyFromProto(req.GetKey())]
 	if !ok || c.claimID != req.GetClaimId() {
 		return &wire.CompleteResponse{}
 	}
 	if req.GetAnswer().GetStatus() == 0 {
-		if c.state == held { // the holder knows that it will never know
+		if c.state == held { // the holder cannot determine the outcome
 			s.setState(c, unknown)
 		}
 		return &wire.CompleteResponse{Stored: true}
 	}
 	if c.state != completed {
 		s.setState(c, completed)
-		c.answer = s.bounded(req.GetAnswer())
+		c.answer = s.limitAnswer(req.GetAnswer())
 		s.answerBytes += answerBytes(c.answer)
 	}
 	return &wire.CompleteResponse{Stored: true}
 }
 
-// bounded drops what is too large to keep.
-func (s *claimsState) bounded(answer *wire.StoredAnswer) *wire.StoredAnswer {
+// limitAnswer drops the headers and the body of an answer that exceeds the limits.
+func (s *claimsState) limitAnswer(answer *wire.StoredAnswer) *wire.StoredAnswer {
 	size := answerBytes(answer)
 	if size <= maxStoredBody && s.answerBytes+size <= maxStoredAnswers {
 		return answer
@@ -203,21 +203,22 @@
 	return &wire.StoredAnswer{Status: answer.GetStatus(), BodyDropped: true}
 }
 
-// release removes a claim whose holder never dispatched. The claim may still
-// be on its way, so its id is remembered: it will not be granted.
+// release removes a claim whose holder never dispatched the request. The claim
+// request may still be in flight, so the claim id is recorded and never granted.
 func (s *claimsState) release(req *wire.ReleaseRequest, clock int64) *wire.ReleaseResponse {
-	k := keyOf(req.GetKey())
+	k := keyFromProto(req.GetKey())
 	c, ok := s.byKey[k]
 	if ok && c.claimID == req.GetClaimId() && c.state != held {
 		return &wire.ReleaseResponse{}
 	}
-	one := &release{key: k, claimID: req.GetClaimId(), expiresAt: clock + int64(releasedRetention)}
-	if !s.releases.has(k, one.claimID) {
-		// A release replaces its claim, so it has room where there is one.
-		if (!ok || c.claimID != one.claimID) && s.full(one.bytes()) {
+	r := &release{key: k, claimID: req.GetClaimId(), expiresAt: clock + int64(releasedRetention)}
+	if !s.releases.has(k, r.claimID) {
+		// The release replaces its claim if there is one, so it needs no
+		// additional memory.
+		if (!ok || c.claimID != r.claimID) && s.full(r.bytes()) {
 			return &wire.ReleaseResponse{}
 		}
-		s.releases.add(one)
+		s.releases.add(r)
 	}
 	if ok && c.claimID == req.GetClaimId() {
 		s.remove(c)
@@ -226,18 +227,18 @@
 }
 
 func (s *claimsState) show(key *wire.ClaimKey) *wire.ShowClaimResponse {
-	c, ok := s.byKey[keyOf(key)]
+	c, ok := s.byKey[keyFromProto(key)]
 	if !ok {
 		return &wire.ShowClaimResponse{}
 	}
 	return &wire.ShowClaimResponse{
-		Found: true, Key: c.key.message(), Holder: c.holder, ClaimId: c.claimID,
+		Found: true, Key: c.key.toProto(), Holder: c.holder, ClaimId: c.claimID,
 		State: string(c.state), ClaimedAt: c.claimedAt, Answer: c.answer,
 	}
 }
 
-// expire forgets what has passed its retention.
+// expire removes claims and releases whose retention has ended.
 func (s *claimsState) expire(clock int64) {
-	s.expiry.expire(clock, s.forget)
+	s.expiry.expire(clock, s.drop)
 	s.releases.expire(clock)
 }
--- a/control/state/expiry.go
+++ b/control/state/expiry.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// bucketWidth is how exactly expiry is kept: what a bucket holds is forgotten
-// together, after the last of it is due.
+// bucketWidth is the resolution of expiry in nanoseconds: all items of a bucket
+// expire together, once the last of them is due.
 const bucketWidth = int64(10 * time.Second)
 
-// expiry finds what is due. Adding and removing cost the same however much it
-// holds.
-type expiry[T any] struct {
-	buckets map[int64][]T
-	placed  func(item T, place int)
-	passed  int64 // all buckets before it are gone
+// expiryQueue finds the items that are due. It groups them in buckets of time, so
+// that adding and removing an item take constant time.
+type expiryQueue[T any] struct {
+	buckets    map[int64][]T
+	setIndex   func(item T, index int)
+	nextBucket int64 // all buckets before it have expired
 }
 
-// newExpiry returns an empty expiry; placed is told where an item stands.
-func newExpiry[T any](placed func(item T, place int)) expiry[T] {
-	return expiry[T]{buckets: map[int64][]T{}, placed: placed}
+// newExpiryQueue returns an empty queue. It calls setIndex with the position of an
+// item in its bucket whenever that changes.
+func newExpiryQueue[T any](setIndex func(item T, index int)) expiryQueue[T] {
+	return expiryQueue[T]{buckets: map[int64][]T{}, setIndex: setIndex}
 }
 
-func (e *expiry[T]) add(item T, at int64) {
+func (e *expiryQueue[T]) add(item T, at int64) {
 	b := at / bucketWidth
-	e.placed(item, len(e.buckets[b]))
+	e.setIndex(item, len(e.buckets[b]))
 	e.buckets[b] = append(e.buckets[b], item)
 }
 
-func (e *expiry[T]) remove(at int64, place int) {
+func (e *expiryQueue[T]) remove(at int64, index int) {
 	b := at / bucketWidth
 	items := e.buckets[b]
 	last := len(items) - 1
-	items[place] = items[last]
-	e.placed(items[place], place)
+	items[index] = items[last]
+	e.setIndex(items[index], index)
 	clear(items[last:])
 	if last == 0 {
 		delete(e.buckets, b)
@@ -42,13 +43,14 @@
 	e.buckets[b] = items[:last]
 }
 
-// expire takes out every bucket that lies wholly in the past.
-func (e *expiry[T]) expire(clock int64, forget func(T)) {
+// expire removes every bucket that ends at or before clock, in order of time, and
+// calls drop for its items.
+func (e *expiryQueue[T]) expire(clock int64, drop func(T)) {
 	now := clock / bucketWidth
-	if now <= e.passed {
+	if now <= e.nextBucket {
 		return
 	}
-	e.passed = now
+	e.nextBucket = now
 	var due []int64
 	for b := range e.buckets {
 		if b < now {
@@ -58,7 +60,7 @@
 	slices.Sort(due)
 	for _, b := range due {
 		for _, item := range e.buckets[b] {
-			forget(item)
+			drop(item)
 		}
 		delete(e.buckets, b)
 	}
--- a/control/state/instances.go
+++ b/control/state/instances.go
@@ -8,31 +8,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of the records of instances.
+// Limits on instance records.
 const (
-	// goneWindow is how long the record of an instance that ended is kept, so
-	// that its late announcements change nothing; the longest delay of a
-	// message is seconds.
-	goneWindow = 20 * time.Minute
-	// unnamedWindow is how long an instance that left without naming its start
-	// is not taken back: an announcement that was held up may be the first one
-	// of the start that left. Partitions hold messages for up to ten seconds.
-	unnamedWindow = 15 * time.Second
-	// maxGone bounds the records of ended instances.
-	maxGone = 20_000
+	// endedRetention is how long the record of an ended instance is kept as a
+	// tombstone, so that its delayed announcements are rejected. Messages are
+	// delayed by a few seconds at most.
+	endedRetention = 20 * time.Minute
+	// rejoinHoldoff is how long announcements of an instance are rejected after
+	// it left without stating its incarnation: a delayed announcement may be the
+	// first one of the incarnation that left. Partitions delay messages by up to
+	// ten seconds.
+	rejoinHoldoff = 15 * time.Second
+	// maxEnded limits the number of records of ended instances.
+	maxEnded = 20_000
 )
 
-// instancesState holds the newest record of each instance. Records carry the
-// revision of their last change, so that a reader asks for what is newer.
+// instancesState holds the newest record of each instance. Each record has the
+// revision of its last change, so that readers can request only newer records.
 type instancesState struct {
 	byID      map[string]*wire.Instance
-	byAddress map[string]string // to the id of the instance that uses it
+	byAddress map[string]string // id of the instance that uses the address
 	revision  uint64
-	gone      []goneInstance // oldest first
+	ended     []endedInstance // oldest first
 }
 
-// goneInstance is an instance that ended at a time of the group's clock.
-type goneInstance struct {
+// endedInstance is an instance with the time on the group's clock when it ended.
+type endedInstance struct {
 	id          string
 	incarnation uint64
 	at          int64
@@ -42,57 +43,58 @@
 	*s = instancesState{byID: map[string]*wire.Instance{}, byAddress: map[string]string{}}
 }
 
-// announce takes what an instance said of itself, or a control host of its
-// silence. Records are never changed in place: readers share them.
+// announce applies an announcement of an instance, or the report of a control host
+// that the instance stopped announcing itself. Records are immutable, because
+// readers share them: a change replaces the record.
 func (s *instancesState) announce(req *wire.Announcement, clock int64) *wire.AnnouncementResult {
 	m := req.GetInstance()
 	old := s.byID[m.GetId()]
 	if m.GetGone() && m.GetIncarnation() == 0 {
 		m = proto.Clone(m).(*wire.Instance)
-		m.Incarnation = old.GetIncarnation() // it did not say which start it is
+		m.Incarnation = old.GetIncarnation() // the announcement does not state one
 		m.LeftAt = max(clock, 1)
 	}
 	switch {
 	case m.GetLeftAt() != 0 && old.GetGone():
-		s.leftAgain(old, m.GetLeftAt())
+		s.recordLeave(old, m.GetLeftAt())
 		return &wire.AnnouncementResult{}
-	case !m.GetGone() && justLeft(old, clock):
+	case !m.GetGone() && leftRecently(old, clock):
 		return &wire.AnnouncementResult{Outdated: true}
 	case m.GetSilent():
-		return s.silence(old, m)
-	case outdated(old, m) || s.overtaken(m):
+		return s.markSilent(old, m)
+	case outdated(old, m) || s.superseded(m):
 		return &wire.AnnouncementResult{Outdated: true}
 	case !ChangesRecord(old, m):
 		return &wire.AnnouncementResult{}
 	}
 	next := proto.Clone(m).(*wire.Instance)
 	if old.GetIncarnation() == m.GetIncarnation() && old.GetDraining() {
-		next.Draining = true // for good: it may be acknowledged already
+		next.Draining = true // irrevocable, the drain may be acknowledged already
 	}
-	if next.GetAddress() == "" && old != nil { // it left without saying more
+	if next.GetAddress() == "" && old != nil { // a leave may state only the id
 		next.Address, next.Service, next.Zone, next.Slots = old.GetAddress(), old.GetService(), old.GetZone(), old.GetSlots()
 	}
-	s.evict(next, clock)
+	s.endPrevious(next, clock)
 	s.store(next, clock)
 	return &wire.AnnouncementResult{Changed: true}
 }
 
-// justLeft reports whether an instance left without naming its start a short
-// time ago.
-func justLeft(old *wire.Instance, clock int64) bool {
-	return old.GetLeftAt() != 0 && clock-old.GetLeftAt() < int64(unnamedWindow)
+// leftRecently reports whether an instance left within the rejoin hold-off without
+// stating its incarnation.
+func leftRecently(old *wire.Instance, clock int64) bool {
+	return old.GetLeftAt() != 0 && clock-old.GetLeftAt() < int64(rejoinHoldoff)
 }
 
-// leftAgain notes that an instance whose known start has ended left: it may have
-// been a later start.
-func (s *instancesState) leftAgain(old *wire.Instance, clock int64) {
+// recordLeave renews the leave time of an instance that has already ended: the
+// incarnation that left now may be a later one than the recorded one.
+func (s *instancesState) recordLeave(old *wire.Instance, leftAt int64) {
 	next := proto.Clone(old).(*wire.Instance)
-	next.LeftAt = clock
-	s.byID[next.GetId()] = next // nothing that readers use has changed
+	next.LeftAt = leftAt
+	s.byID[next.GetId()] = next // same revision: nothing that readers use has changed
 }
 
-// outdated reports whether a message is of an earlier start, or was overtaken
-// by a later one, or comes after the instance's end.
+// outdated reports whether a message is from an earlier incarnation, was sent
+// before the recorded one, or was received after the instance ended.
 func outdated(old, m *wire.Instance) bool {
 	switch {
 	case old == nil || m.GetIncarnation() > old.GetIncarnation():
@@ -103,13 +105,13 @@
 	return old.GetGone() || (m.GetSequence() < old.GetSequence() && !m.GetLeft())
 }
 
-// overtaken reports whether an instance that started later uses the address.
-func (s *instancesState) overtaken(m *wire.Instance) bool {
+// superseded reports whether an instance that started later uses the address of m.
+func (s *instancesState) superseded(m *wire.Instance) bool {
 	other := s.byID[s.byAddress[m.GetAddress()]]
 	return !m.GetGone() && other != nil && other.GetId() != m.GetId() && other.GetIncarnation() > m.GetIncarnation()
 }
 
-// ChangesRecord reports whether a message changes the record of an instance.
+// ChangesRecord reports whether message m changes the record old of an instance.
 func ChangesRecord(old, m *wire.Instance) bool {
 	if old == nil || old.GetIncarnation() != m.GetIncarnation() || old.GetSilent() {
 		return true
@@ -122,20 +124,20 @@
 		m.GetDraining() && !old.GetDraining()
 }
 
-// silence marks an instance whose announcements stopped, if the host that
-// heard it is still the one that says so.
-func (s *instancesState) silence(old, m *wire.Instance) *wire.AnnouncementResult {
+// markSilent marks an instance as silent if the reporting host is still the one
+// that received its latest announcement.
+func (s *instancesState) markSilent(old, m *wire.Instance) *wire.AnnouncementResult {
 	if old == nil || old.GetIncarnation() != m.GetIncarnation() || old.GetHeardBy() != m.GetHeardBy() || old.GetSilent() || old.GetGone() {
 		return &wire.AnnouncementResult{}
 	}
 	next := proto.Clone(old).(*wire.Instance)
 	next.Silent = true
-	s.revise(next)
+	s.putRevision(next)
 	return &wire.AnnouncementResult{Changed: true}
 }
 
-// evict ends the record of an earlier instance at the address.
-func (s *instancesState) evict(m *wire.Instance, clock int64) {
+// endPrevious marks another instance that used the address of m as ended.
+func (s *instancesState) endPrevious(m *wire.Instance, clock int64) {
 	if m.GetGone() {
 		return
 	}
@@ -153,32 +155,33 @@
 		delete(s.byAddress, old.GetAddress())
 	}
 	if m.GetGone() {
-		s.gone = append(s.gone, goneInstance{id: m.GetId(), incarnation: m.GetIncarnation(), at: clock})
+		s.ended = append(s.ended, endedInstance{id: m.GetId(), incarnation: m.GetIncarnation(), at: clock})
 	} else {
 		s.byAddress[m.GetAddress()] = m.GetId()
 	}
-	s.revise(m)
+	s.putRevision(m)
 }
 
-func (s *instancesState) revise(m *wire.Instance) {
+func (s *instancesState) putRevision(m *wire.Instance) {
 	s.revision++
 	m.Revision = s.revision
 	s.byID[m.GetId()] = m
 }
 
-// expire forgets instances that ended long ago.
+// expire removes instances whose tombstone retention has ended.
 func (s *instancesState) expire(clock int64) {
-	for len(s.gone) > 0 && (len(s.gone) > maxGone || clock-s.gone[0].at > int64(goneWindow)) {
-		first := s.gone[0]
-		s.gone = s.gone[1:]
+	for len(s.ended) > 0 && (len(s.ended) > maxEnded || clock-s.ended[0].at > int64(endedRetention)) {
+		first := s.ended[0]
+		s.ended = s.ended[1:]
 		if m := s.byID[first.id]; m.GetGone() && m.GetIncarnation() == first.incarnation {
 			delete(s.byID, first.id)
 		}
 	}
 }
 
-// since returns the records that changed after a revision, oldest first.
-func (s *instancesState) since(revision uint64) []*wire.Instance {
+// changedSince returns the records that changed after a revision, oldest first. At
+// revision 0, where a reader has no records yet, ended instances are left out.
+func (s *instancesState) changedSince(revision uint64) []*wire.Instance {
 	if revision >= s.revision {
 		return nil
 	}
@@ -204,7 +207,7 @@
 	for _, m := range in.GetInstances() {
 		s.byID[m.GetId()] = m
 		if m.GetGone() {
-			s.gone = append(s.gone, goneInstance{id: m.GetId(), incarnation: m.GetIncarnation(), at: in.GetClock()})
+			s.ended = append(s.ended, endedInstance{id: m.GetId(), incarnation: m.GetIncarnation(), at: in.GetClock()})
 			continue
 		}
 		s.byAddress[m.GetAddress()] = m.GetId()
@@ -212,12 +215,12 @@
 	s.revision = in.GetInstancesRevision()
 }
 
-// Instances returns the records that changed after a revision, and the
-// revision of the newest one. They are not to be changed.
+// Instances returns the records that changed after a revision, and the revision of
+// the newest one. The caller must not modify the records.
 func (m *Machine) Instances(after uint64) ([]*wire.Instance, uint64) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.instances.since(after), m.instances.revision
+	return m.instances.changedSince(after), m.instances.revision
 }
 
 // InstancesRevision returns the revision of the newest record.
--- a/control/state/instances_test.go
+++ b/control/state/instances_test.go
@@ -25,11 +25,11 @@
 func draining(m *wire.Instance) { m.Draining = true }
 func leaving(m *wire.Instance)  { m.Gone, m.Left = true, true }
 
-func announce(m *state.Machine, one *wire.Instance) *wire.AnnouncementResult {
-	return m.Apply(&wire.Command{Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: one}}}).GetAnnounce()
+func announce(m *state.Machine, instance *wire.Instance) *wire.AnnouncementResult {
+	return m.Apply(&wire.Command{Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: instance}}}).GetAnnounce()
 }
 
-func TestLeavingEndsTheKnownStartIfNoneIsNamed(t *testing.T) {
+func TestLeaveWithoutIncarnationEndsTheRecordedOne(t *testing.T) {
 	m := state.New()
 	announce(m, instanceOf("a", 7, 1))
 	must.True(t, announce(m, &wire.Instance{Id: "a", Gone: true, Left: true}).GetChanged())
@@ -37,31 +37,31 @@
 	must.Eq(t, 7, m.Instance("a").GetIncarnation())
 }
 
-func TestLeavingEndsAStartThatIsNotKnownYet(t *testing.T) {
-	for what, known := range map[string][]*wire.Instance{
+func TestLeaveWithoutIncarnationEndsAnUnrecordedOne(t *testing.T) {
+	for name, recorded := range map[string][]*wire.Instance{
 		"nothing known":        nil,
 		"an earlier start":     {instanceOf("a", 6, 4)},
 		"an earlier one ended": {instanceOf("a", 6, 4), instanceOf("a", 6, 5, leaving)},
 	} {
 		m := state.New()
-		at := func(seconds int64, one *wire.Instance) *wire.AnnouncementResult {
-			return m.Apply(&wire.Command{Clock: seconds * 1e9, Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: one}}}).GetAnnounce()
+		announceAt := func(seconds int64, instance *wire.Instance) *wire.AnnouncementResult {
+			return m.Apply(&wire.Command{Clock: seconds * 1e9, Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: instance}}}).GetAnnounce()
 		}
-		for _, one := range known {
-			at(1, one)
+		for _, instance := range recorded {
+			announceAt(1, instance)
 		}
-		at(10, &wire.Instance{Id: "a", Gone: true, Left: true})
+		announceAt(10, &wire.Instance{Id: "a", Gone: true, Left: true})
 		data, err := m.Snapshot()
 		must.NoError(t, err)
 		must.NoError(t, m.Restore(data))
-		must.True(t, at(13, instanceOf("a", 7, 1)).GetOutdated(), must.Sprint(what, ": a late announcement"))
-		must.True(t, m.Instance("a").GetGone(), must.Sprint(what))
-		must.True(t, at(60, instanceOf("a", 8, 1)).GetChanged(), must.Sprint(what, ": a new start"))
-		must.False(t, m.Instance("a").GetGone(), must.Sprint(what))
+		must.True(t, announceAt(13, instanceOf("a", 7, 1)).GetOutdated(), must.Sprint(name, ": a late announcement"))
+		must.True(t, m.Instance("a").GetGone(), must.Sprint(name))
+		must.True(t, announceAt(60, instanceOf("a", 8, 1)).GetChanged(), must.Sprint(name, ": a new start"))
+		must.False(t, m.Instance("a").GetGone(), must.Sprint(name))
 	}
 }
 
-func TestADrainIsForGoodForOneStart(t *testing.T) {
+func TestDrainIsIrrevocableWithinAnIncarnation(t *testing.T) {
 	m := state.New()
 	announce(m, instanceOf("a", 7, 1))
 	must.True(t, announce(m, instanceOf("a", 7, 2, draining)).GetChanged())
@@ -71,8 +71,8 @@
 	must.False(t, m.Instance("a").GetDraining())
 }
 
-func TestLateAnnouncementsChangeNothing(t *testing.T) {
-	for what, late := range map[string]*wire.Instance{
+func TestOutdatedAnnouncementsChangeNothing(t *testing.T) {
+	for name, late := range map[string]*wire.Instance{
 		"of an earlier start":                instanceOf("a", 6, 9),
 		"overtaken":                          instanceOf("a", 7, 4, func(m *wire.Instance) { m.Cold = true }),
 		"of an earlier user of the address":  instanceOf("b", 5, 1),
@@ -83,13 +83,13 @@
 		announce(m, instanceOf("gone", 4, 2, leaving))
 		announce(m, instanceOf("a", 7, 5))
 		_, before := m.Instances(0)
-		must.True(t, announce(m, late).GetOutdated(), must.Sprint(what))
+		must.True(t, announce(m, late).GetOutdated(), must.Sprint(name))
 		_, after := m.Instances(0)
-		must.Eq(t, before, after, must.Sprint(what))
+		must.Eq(t, before, after, must.Sprint(name))
 	}
 }
 
-func TestALaterStartTakesTheAddressOver(t *testing.T) {
+func TestLaterInstanceTakesOverTheAddress(t *testing.T) {
 	m := state.New()
 	announce(m, instanceOf("a", 7, 1))
 	announce(m, instanceOf("b", 8, 1, func(m *wire.Instance) { m.Service = "other" }))
@@ -99,33 +99,33 @@
 	must.True(t, m.Instance("a").GetGone())
 }
 
-func TestReadersAreToldWhatIsNewerThanTheyKnow(t *testing.T) {
+func TestInstancesReturnsOnlyNewerRecords(t *testing.T) {
 	m := state.New()
 	announce(m, instanceOf("a", 7, 1))
-	_, known := m.Instances(0)
+	_, revision := m.Instances(0)
 	announce(m, instanceOf("b", 7, 1, func(m *wire.Instance) { m.Address = "10.0.0.2:80" }))
 	announce(m, instanceOf("a", 7, 2, leaving))
-	news, revision := m.Instances(known)
-	must.Len(t, 2, news)
-	must.Eq(t, "b", news[0].GetId())
-	must.True(t, news[1].GetGone())
-	none, _ := m.Instances(revision)
+	changed, newest := m.Instances(revision)
+	must.Len(t, 2, changed)
+	must.Eq(t, "b", changed[0].GetId())
+	must.True(t, changed[1].GetGone())
+	none, _ := m.Instances(newest)
 	must.SliceEmpty(t, none)
-	// The snapshot holds the same.
+	// A restored machine returns the same records.
 	data, err := m.Snapshot()
 	must.NoError(t, err)
 	other := state.New()
 	must.NoError(t, other.Restore(data))
-	again, same := other.Instances(known)
-	must.Eq(t, revision, same)
-	must.Eq(t, fmt.Sprint(news), fmt.Sprint(again))
+	restored, same := other.Instances(revision)
+	must.Eq(t, newest, same)
+	must.Eq(t, fmt.Sprint(changed), fmt.Sprint(restored))
 }
 
-func TestSilenceHoldsUntilTheInstanceIsHeard(t *testing.T) {
+func TestInstanceIsSilentUntilItsNextAnnouncement(t *testing.T) {
 	m := state.New()
 	announce(m, instanceOf("a", 7, 1))
 	silent := &wire.Instance{Id: "a", Incarnation: 7, HeardBy: "c2", Silent: true}
-	must.False(t, announce(m, silent).GetChanged(), must.Sprint("another host heard it last"))
+	must.False(t, announce(m, silent).GetChanged(), must.Sprint("another host received its last announcement"))
 	silent.HeardBy = "c1"
 	must.True(t, announce(m, silent).GetChanged())
 	must.True(t, m.Instance("a").GetSilent())
--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -1,12 +1,11 @@
-// Package state is the replicated state machine of the control hosts: the
-// accepted rules files, the claims on requests that run at most once, and the
+// Package state implements the replicated state machine of the control hosts. It
+// holds the accepted rules files, the claims on at-most-once requests, and the
 // records of instances that announced themselves to control hosts.
 //
-// The machine is deterministic: it reads no clock and no random source, so
-// that every replica that applies the same commands holds the same state. What
-// expires does so on the group's clock, which the leader advances with its
-// commands by the time that really passed: a wall clock that jumps moves
-// nothing but the times that operators are shown.
+// The machine is deterministic: it uses no clock and no random source, so that all
+// replicas that apply the same commands have the same state. Expiry follows the
+// group's clock, which the leader advances with its commands by the elapsed time.
+// Steps of a wall clock thus affect only the times displayed to operators.
 //
 // Usage:
 //
@@ -21,16 +20,16 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Machine holds the state. Its methods may be called from several goroutines.
+// Machine is the state machine. It is safe for concurrent use.
 type Machine struct {
 	mu     sync.RWMutex
-	clock  int64 // the group's running time, which expiry follows
+	clock  int64 // elapsed time of the group in nanoseconds, the time base of expiry
 	rules  rulesState
 	claims claimsState
 
 	instances instancesState
 
-	changed chan struct{} // closed when another version comes in force or an instance changes
+	changed chan struct{} // closed on the next change of the version in force or an instance
 }
 
 // New returns an empty machine.
@@ -46,7 +45,7 @@
 func (m *Machine) Apply(cmd *wire.Command) *wire.Result {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.announce(m.mark())
+	defer m.notifyWatchers(m.watchRevision())
 	return m.apply(cmd)
 }
 
@@ -81,21 +80,24 @@
 	return &wire.Result{Body: &wire.Result_Batch{Batch: &wire.ResultBatch{Results: results}}}
 }
 
-// InForce returns the newest accepted version and its text, or nil.
+// InForce returns the version in force, which is the newest accepted one, and its
+// text, or nil.
 func (m *Machine) InForce() (*wire.Version, string) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.rules.newest()
 }
 
-// Document returns what the newest version was translated from, if anything.
+// Document returns the document that the version in force was translated from, or
+// nil.
 func (m *Machine) Document() []byte {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.rules.document
 }
 
-// Version returns one accepted version and its text, or nil.
+// Version returns the accepted version with a number and its text, or nil. The text
+// of an old version may have been dropped.
 func (m *Machine) Version(number uint64) (*wire.Version, string) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -109,21 +111,22 @@
 	return m.rules.history(limit)
 }
 
-// ShowClaim returns what is known of one claim.
+// ShowClaim returns the state of one claim.
 func (m *Machine) ShowClaim(key *wire.ClaimKey) *wire.ShowClaimResponse {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.claims.show(key)
 }
 
-// Clock returns the group's running time as the last command set it.
+// Clock returns the group's clock as of the last applied command.
 func (m *Machine) Clock() int64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.clock
 }
 
-// CountClaims returns how many claims are held and how many are unknown.
+// CountClaims returns the number of claims that are held and the number of those
+// whose outcome is unknown.
 func (m *Machine) CountClaims() (outstanding, unresolved int) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/control/state/release.go
+++ b/control/state/release.go
@@ -1,11 +1,11 @@
 package state
 
-// release names a claim that was given up and must not be granted.
+// release records a claim id that its holder gave up and that must not be granted.
 type release struct {
-	key       claimKey
-	claimID   string
-	expiresAt int64
-	place     int
+	key         claimKey
+	claimID     string
+	expiresAt   int64
+	bucketIndex int
 }
 
 func (r *release) bytes() int { return claimOverhead + r.key.bytes() + len(r.claimID) }
@@ -15,17 +15,18 @@
 	claimID string
 }
 
-// releases are kept for as long as a claim may be on its way.
+// releases holds the released claim ids for as long as a claim request may be in
+// flight.
 type releases struct {
 	byKey  map[releaseKey]*release
-	expiry expiry[*release]
+	expiry expiryQueue[*release]
 	bytes  int
 }
 
 func (s *releases) reset() {
 	*s = releases{
 		byKey:  map[releaseKey]*release{},
-		expiry: newExpiry(func(r *release, place int) { r.place = place }),
+		expiry: newExpiryQueue(func(r *release, index int) { r.bucketIndex = index }),
 	}
 }
 
--- a/control/state/resolve.go
+++ b/control/state/resolve.go
@@ -4,15 +4,15 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Resolutions that an operator may give to a claim whose outcome is unknown.
+// Resolutions of a claim whose outcome is unknown, as given by an operator.
 const (
 	ResolvedRan       = "ran"
 	ResolvedDidNotRun = "did-not-run"
 )
 
-// resolve records an operator's word on a claim that was never completed.
+// resolve applies an operator's resolution to a claim that was never completed.
 func (s *claimsState) resolve(req *wire.ResolveClaimRequest, clock int64) *wire.ResolveClaimResponse {
-	c, ok := s.byKey[keyOf(req.GetKey())]
+	c, ok := s.byKey[keyFromProto(req.GetKey())]
 	switch {
 	case !ok:
 		return &wire.ResolveClaimResponse{Refusal: "there is no such claim"}
@@ -28,7 +28,7 @@
 	case ResolvedRan:
 		s.setState(c, unknown)
 	default:
-		return &wire.ResolveClaimResponse{Refusal: "a resolution is ran or did-not-run"}
+		return &wire.ResolveClaimResponse{Refusal: "the resolution must be ran or did-not-run"}
 	}
 	return &wire.ResolveClaimResponse{Resolved: true}
 }
--- a/control/state/rules.go
+++ b/control/state/rules.go
@@ -9,15 +9,16 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Bounds of the rules' history.
+// Limits on the history of the rules.
 const (
-	// submissionWindow is how many submissions are remembered, so that one
-	// that is sent again gives the first result.
+	// submissionWindow is the number of submission results that are kept, so
+	// that a retried submission returns its first result.
 	submissionWindow = 16_384
-	// maxVersions is how many versions keep author, time, reason and digest.
+	// maxVersions is the number of versions whose author, time, reason and digest
+	// are kept.
 	maxVersions = 65_536
-	// maxTextBytes bounds the texts that are kept for diff and rollback. The
-	// text in force is always kept.
+	// maxTextBytes limits the size of the texts that are kept for diff and
+	// rollback. The text of the version in force is always kept.
 	maxTextBytes = 16 << 20
 )
 
@@ -26,17 +27,17 @@
 	text    string
 }
 
-// submission is the first result of a submission that may be sent again.
+// submission is the result of a submission, kept for retries.
 type submission struct {
 	digest   uint64 // of the whole request
 	response *wire.SubmitResponse
 }
 
 type rulesState struct {
-	versions    []acceptedVersion // in order of their numbers
-	document    []byte            // what the newest text was translated from
+	versions    []acceptedVersion // in ascending order of their numbers
+	document    []byte            // source of the newest text, if it was translated
 	textBytes   int
-	oldestText  int // versions before it have no text
+	oldestText  int // index in versions; the texts before it were dropped
 	submissions map[string]submission
 	order       []string // submission ids, oldest first
 }
@@ -45,7 +46,8 @@
 	*r = rulesState{submissions: map[string]submission{}}
 }
 
-// submit accepts a rules file if its base is the version in force.
+// submit accepts a rules file if it is based on the version in force. A retried
+// submission returns its first result.
 func (r *rulesState) submit(req *wire.SubmitRequest, now int64) *wire.SubmitResponse {
 	if req.GetNumber() > 0 {
 		return r.submitNumbered(req, now)
@@ -58,7 +60,7 @@
 		return r.withWinner(first.response)
 	}
 	response := r.decide(req, now)
-	r.remember(req.GetSubmissionId(), submission{digest: digest, response: response})
+	r.recordSubmission(req.GetSubmissionId(), submission{digest: digest, response: response})
 	return r.withWinner(response)
 }
 
@@ -69,7 +71,8 @@
 	return d.Sum64()
 }
 
-// withWinner adds the winner's text to a refusal.
+// withWinner adds the text of the accepted version to a refusal. It is looked up
+// for each response, as the version's text may have been dropped.
 func (r *rulesState) withWinner(response *wire.SubmitResponse) *wire.SubmitResponse {
 	if response.GetAccepted() || response.GetVersion() == nil {
 		return response
@@ -87,15 +90,15 @@
 			Refusal: fmt.Sprintf("the base is version %d, in force is version %d", req.GetBaseVersion(), current),
 		}
 	}
-	if refusal := r.refuseRollback(req); refusal != "" {
+	if refusal := r.checkRollback(req); refusal != "" {
 		return &wire.SubmitResponse{Refusal: refusal}
 	}
 	return r.accept(req, current+1, now)
 }
 
-// submitNumbered accepts a rules file under the number that its submitter
-// chose. One whose number is not higher than that in force changes nothing,
-// so that a submission may be sent again and again.
+// submitNumbered accepts a rules file with a version number chosen by the
+// submitter. A number that is not higher than that of the version in force is
+// superseded and changes nothing, so that submissions can be repeated.
 func (r *rulesState) submitNumbered(req *wire.SubmitRequest, now int64) *wire.SubmitResponse {
 	if winner, _ := r.newest(); req.GetNumber() <= winner.GetNumber() {
 		return &wire.SubmitResponse{Superseded: true, Version: winner}
@@ -111,13 +114,13 @@
 	r.versions = append(r.versions, acceptedVersion{version: version, text: req.GetText()})
 	r.textBytes += len(req.GetText())
 	r.document = req.GetDocument()
-	r.dropOld()
+	r.trimHistory()
 	return &wire.SubmitResponse{Accepted: true, Version: version}
 }
 
-// refuseRollback checks that a rollback brings the text of the version that it
-// names. The rollback is a new version all the same.
-func (r *rulesState) refuseRollback(req *wire.SubmitRequest) string {
+// checkRollback returns a refusal unless a rollback has the text of the version that
+// it refers to. An accepted rollback becomes a new version with that text.
+func (r *rulesState) checkRollback(req *wire.SubmitRequest) string {
 	number := req.GetRollbackOf()
 	if number == 0 {
 		return ""
@@ -132,7 +135,7 @@
 	return ""
 }
 
-func (r *rulesState) dropOld() {
+func (r *rulesState) trimHistory() {
 	for r.textBytes > maxTextBytes && r.oldestText < len(r.versions)-1 {
 		r.textBytes -= len(r.versions[r.oldestText].text)
 		r.versions[r.oldestText].text = ""
@@ -147,8 +150,8 @@
 	r.oldestText = max(0, r.oldestText-1)
 }
 
-func (r *rulesState) remember(id string, one submission) {
-	r.submissions[id] = one
+func (r *rulesState) recordSubmission(id string, result submission) {
+	r.submissions[id] = result
 	r.order = append(r.order, id)
 	if len(r.order) > submissionWindow {
 		delete(r.submissions, r.order[0])
@@ -183,7 +186,7 @@
 	return all
 }
 
-// Digest returns the digest of a rules text: xxhash64 in hex.
+// Digest returns the xxhash64 digest of a rules text in hexadecimal.
 func Digest(text string) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(text))
 }
--- a/control/state/snapshot.go
+++ b/control/state/snapshot.go
@@ -9,15 +9,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Frozen is the state at one moment. It may be encoded while the machine goes
-// on.
+// Frozen is a point-in-time copy of the state. It can be encoded while the machine
+// applies further commands.
 type Frozen struct {
 	head     *wire.StateSnapshot
 	claims   []claim
 	releases []release
 }
 
-// Freeze copies what changes; texts and answers are shared, they never change.
+// Freeze returns a copy of the state. Texts and answers are immutable and shared
+// with the machine.
 func (m *Machine) Freeze() *Frozen {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -35,40 +36,40 @@
 	return f
 }
 
-// Encode returns the snapshot's bytes: the same state gives the same bytes.
+// Encode returns the encoded snapshot. The encoding is deterministic.
 func (f *Frozen) Encode() ([]byte, error) {
 	slices.SortFunc(f.claims, func(a, b claim) int { return a.key.compare(b.key) })
 	slices.SortFunc(f.releases, func(a, b release) int {
 		if c := a.key.compare(b.key); c != 0 {
 			return c
 		}
-		return compareAll(a.claimID, b.claimID)
+		return comparePairs(a.claimID, b.claimID)
 	})
 	options := proto.MarshalOptions{Deterministic: true}
 	data, err := options.Marshal(f.head)
-	// The claims follow one by one: as one message they would take twice the
-	// memory for as long as they are encoded.
+	// Claims are appended one by one: as part of a single message they would take
+	// twice the memory during encoding.
 	for n := range f.claims {
 		if data, err = appendMessage(data, snapshotClaims, f.claims[n].snapshot(), err); err != nil {
 			break
 		}
 	}
 	for _, r := range f.releases {
-		one := &wire.SnapshotRelease{Key: r.key.message(), ClaimId: r.claimID, ExpiresAt: r.expiresAt}
-		if data, err = appendMessage(data, snapshotReleases, one, err); err != nil {
+		m := &wire.SnapshotRelease{Key: r.key.toProto(), ClaimId: r.claimID, ExpiresAt: r.expiresAt}
+		if data, err = appendMessage(data, snapshotReleases, m, err); err != nil {
 			break
 		}
 	}
 	return data, errors.Wrap(err, "encode state")
 }
 
-// Numbers of the repeated fields of a StateSnapshot.
+// Field numbers of the repeated fields of a StateSnapshot.
 const (
 	snapshotClaims   = 3
 	snapshotReleases = 6
 )
 
-// appendMessage appends one element of a repeated field, unless an earlier one
+// appendMessage appends one element of a repeated field, unless a previous element
 // failed.
 func appendMessage(data []byte, field protowire.Number, m proto.Message, failed error) ([]byte, error) {
 	if failed != nil {
@@ -83,17 +84,17 @@
 func (c *claim) snapshot() *wire.SnapshotClaim {
 	return &wire.SnapshotClaim{
 		Request: &wire.ClaimRequest{
-			Key: c.key.message(), Holder: c.holder, ClaimId: c.claimID, Fingerprint: []byte(c.fingerprint),
+			Key: c.key.toProto(), Holder: c.holder, ClaimId: c.claimID, Fingerprint: []byte(c.fingerprint),
 		},
 		ClaimedAt: c.claimedAt, ExpiresAt: c.expiresAt, State: string(c.state), Answer: c.answer,
 	}
 }
 
-// Snapshot encodes the whole state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Freeze().Encode() }
 
-// Restore replaces the state by a snapshot. A snapshot that cannot be read
-// leaves the state as it was.
+// Restore replaces the state with an encoded snapshot. If the snapshot is invalid,
+// the state is unchanged.
 func (m *Machine) Restore(data []byte) error {
 	s := &wire.StateSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
@@ -112,30 +113,30 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.announce(m.mark())
+	defer m.notifyWatchers(m.watchRevision())
 	m.clock = s.GetClock()
 	m.rules, m.claims, m.instances = next.rules, next.claims, next.instances
 	return nil
 }
 
 func (s *claimsState) load(in *wire.StateSnapshot) error {
-	for _, one := range in.GetClaims() {
-		req := one.GetRequest()
+	for _, saved := range in.GetClaims() {
+		req := saved.GetRequest()
 		c := &claim{
-			key: s.names.key(keyOf(req.GetKey())), holder: s.names.one(req.GetHolder()), claimID: req.GetClaimId(),
-			fingerprint: string(req.GetFingerprint()), claimedAt: one.GetClaimedAt(), expiresAt: one.GetExpiresAt(),
-			state: claimState(one.GetState()), answer: one.GetAnswer(),
+			key: s.strings.internKey(keyFromProto(req.GetKey())), holder: s.strings.intern(req.GetHolder()), claimID: req.GetClaimId(),
+			fingerprint: string(req.GetFingerprint()), claimedAt: saved.GetClaimedAt(), expiresAt: saved.GetExpiresAt(),
+			state: claimState(saved.GetState()), answer: saved.GetAnswer(),
 		}
 		if c.state != held && c.state != completed && c.state != unknown {
-			return errors.Errorf("a claim has the unknown state %q", one.GetState())
+			return errors.Errorf("snapshot has a claim in invalid state %q", saved.GetState())
 		}
-		if _, twice := s.byKey[c.key]; twice {
-			return errors.Errorf("the claim on %s %s %s stands twice", c.key.service, c.key.caller, c.key.idempotencyKey)
+		if _, duplicate := s.byKey[c.key]; duplicate {
+			return errors.Errorf("snapshot has a duplicate claim on %s %s %s", c.key.service, c.key.caller, c.key.idempotencyKey)
 		}
 		s.add(c)
 	}
-	for _, one := range in.GetReleases() {
-		s.releases.add(&release{key: keyOf(one.GetKey()), claimID: one.GetClaimId(), expiresAt: one.GetExpiresAt()})
+	for _, saved := range in.GetReleases() {
+		s.releases.add(&release{key: keyFromProto(saved.GetKey()), claimID: saved.GetClaimId(), expiresAt: saved.GetExpiresAt()})
 	}
 	return nil
 }
@@ -148,25 +149,25 @@
 		s.Versions[n-1].Document = r.document
 	}
 	for _, id := range r.order {
-		one := r.submissions[id]
-		s.Submissions = append(s.Submissions, &wire.SnapshotSubmission{Id: id, Response: one.response, Digest: one.digest})
+		saved := r.submissions[id]
+		s.Submissions = append(s.Submissions, &wire.SnapshotSubmission{Id: id, Response: saved.response, Digest: saved.digest})
 	}
 }
 
 func (r *rulesState) load(s *wire.StateSnapshot) error {
 	for n, v := range s.GetVersions() {
 		if n > 0 && v.GetVersion().GetNumber() <= r.newestNumber() {
-			return errors.Errorf("version %d follows version %d", v.GetVersion().GetNumber(), r.newestNumber())
+			return errors.Errorf("snapshot has version %d after version %d", v.GetVersion().GetNumber(), r.newestNumber())
 		}
 		if v.GetVersion().GetNumber() == 0 {
-			return errors.New("a version has no number")
+			return errors.New("snapshot has a version without a number")
 		}
 		r.versions = append(r.versions, acceptedVersion{version: v.GetVersion(), text: v.GetText()})
 		r.textBytes += len(v.GetText())
 		r.document = v.GetDocument()
 	}
-	for _, one := range s.GetSubmissions() {
-		r.remember(one.GetId(), submission{digest: one.GetDigest(), response: one.GetResponse()})
+	for _, saved := range s.GetSubmissions() {
+		r.recordSubmission(saved.GetId(), submission{digest: saved.GetDigest(), response: saved.GetResponse()})
 	}
 	return nil
 }
--- a/control/state/state_test.go
+++ b/control/state/state_test.go
@@ -40,7 +40,7 @@
 	return m.Apply(&wire.Command{Body: &wire.Command_Submit{Submit: req}}).GetSubmit()
 }
 
-func TestReleaseOvertakesItsClaim(t *testing.T) {
+func TestReleaseReceivedBeforeItsClaim(t *testing.T) {
 	m := state.New()
 	must.True(t, release(m, "k", "late"))
 	must.Eq(t, wire.ClaimState_CLAIM_RELEASED, claimAt(m, 0, "k", "late"))
@@ -60,7 +60,7 @@
 func TestClaimExpiresOnTheGroupsClock(t *testing.T) {
 	m := state.New()
 	must.Eq(t, wire.ClaimState_CLAIM_GRANTED, claimAt(m, 0, "k", "one"))
-	// A wall clock that jumps expires nothing.
+	// A step of the wall clock expires nothing.
 	m.Apply(&wire.Command{At: int64(1000 * time.Hour)})
 	must.Eq(t, wire.ClaimState_CLAIM_HELD, claimAt(m, time.Hour-time.Second, "k", "two"))
 	must.Eq(t, wire.ClaimState_CLAIM_GRANTED, claimAt(m, time.Hour+time.Minute, "k", "two"))
@@ -74,7 +74,7 @@
 	must.Eq(t, wire.ClaimState_CLAIM_COMPLETED, claimAt(m, 0, "k", "two"))
 }
 
-func TestClaimWhoseOutcomeItsHolderLostIsUnknown(t *testing.T) {
+func TestClaimWithoutAnOutcomeIsUnknown(t *testing.T) {
 	m := state.New()
 	claimAt(m, 0, "k", "one")
 	must.True(t, complete(m, "k", "one", &wire.StoredAnswer{BodyDropped: true}))
@@ -111,25 +111,25 @@
 	must.Eq(t, wire.ClaimState_CLAIM_GRANTED, claimAt(m, 2*time.Hour, "room again", "one"))
 }
 
-func TestSubmissionSentAgainGivesTheFirstResult(t *testing.T) {
+func TestRetriedSubmissionReturnsItsFirstResult(t *testing.T) {
 	m := state.New()
 	first := &wire.SubmitRequest{SubmissionId: "a", Text: "one"}
 	must.True(t, submit(m, first).GetAccepted())
 	must.True(t, submit(m, &wire.SubmitRequest{SubmissionId: "b", BaseVersion: 1, Text: "two"}).GetAccepted())
-	again := submit(m, first)
-	must.True(t, again.GetAccepted())
-	must.Eq(t, 1, again.GetVersion().GetNumber())
+	retried := submit(m, first)
+	must.True(t, retried.GetAccepted())
+	must.Eq(t, 1, retried.GetVersion().GetNumber())
 	other := submit(m, &wire.SubmitRequest{SubmissionId: "a", Text: "other", BaseVersion: 2})
 	must.False(t, other.GetAccepted())
 }
 
-func TestLoserOfARaceSeesTheWinner(t *testing.T) {
+func TestRefusedSubmissionReturnsTheWinner(t *testing.T) {
 	m := state.New()
 	must.True(t, submit(m, &wire.SubmitRequest{SubmissionId: "a", Text: "winner", Author: "anna"}).GetAccepted())
-	lost := submit(m, &wire.SubmitRequest{SubmissionId: "b", Text: "loser"})
-	must.False(t, lost.GetAccepted())
-	must.Eq(t, "winner", lost.GetWinnerText())
-	must.Eq(t, "anna", lost.GetVersion().GetAuthor())
+	refused := submit(m, &wire.SubmitRequest{SubmissionId: "b", Text: "loser"})
+	must.False(t, refused.GetAccepted())
+	must.Eq(t, "winner", refused.GetWinnerText())
+	must.Eq(t, "anna", refused.GetVersion().GetAuthor())
 }
 
 func TestRollbackIsANewVersionWithTheOldText(t *testing.T) {
@@ -138,10 +138,10 @@
 	submit(m, &wire.SubmitRequest{SubmissionId: "b", Text: "two", BaseVersion: 1})
 	wrong := submit(m, &wire.SubmitRequest{SubmissionId: "c", Text: "else", BaseVersion: 2, RollbackOf: 1})
 	must.False(t, wrong.GetAccepted())
-	back := submit(m, &wire.SubmitRequest{SubmissionId: "d", Text: "one", BaseVersion: 2, RollbackOf: 1})
-	must.True(t, back.GetAccepted())
-	must.Eq(t, 3, back.GetVersion().GetNumber())
-	must.Eq(t, 1, back.GetVersion().GetRollbackOf())
+	rollback := submit(m, &wire.SubmitRequest{SubmissionId: "d", Text: "one", BaseVersion: 2, RollbackOf: 1})
+	must.True(t, rollback.GetAccepted())
+	must.Eq(t, 3, rollback.GetVersion().GetNumber())
+	must.Eq(t, 1, rollback.GetVersion().GetRollbackOf())
 }
 
 func TestTextsAreBoundedAndTheNewestIsKept(t *testing.T) {
@@ -157,8 +157,9 @@
 	must.Eq(t, "", dropped)
 }
 
-// A replica that was restored goes on exactly like one that never stopped.
-func TestRestoredMachineGoesOnAlike(t *testing.T) {
+// A restored replica must return the same results and snapshots as one that was
+// never restarted.
+func TestRestoredMachineBehavesIdentically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := state.New(), state.New()
 		clock := time.Duration(0)
