--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -178,13 +178,13 @@
 func (d *dispatch) send(attempt int) (*upstream.Exchange, error) {
 	var opts []upstream.SendOption
 	if d.ctx == nil { // two exchanges cannot both tell the caller
-		opts = append(opts, upstream.WithInform(d.c.inform))
+		opts = append(opts, upstream.WithInterimHandler(d.c.inform))
 	}
 	if speaks := d.c.dialect; speaks.Identity != "" {
 		opts = append(opts, upstream.WithIdentity(speaks.Identity, d.c.r.Header.Get(speaks.Identity)))
 	}
 	if d.c.dialect.Unframed {
-		opts = append(opts, upstream.WithUnframed())
+		opts = append(opts, upstream.WithCloseDelimited())
 	}
 	switch {
 	case attempt > 1:
@@ -255,7 +255,7 @@
 	case upstream.Unopened:
 		d.report.Failed, d.report.Lost = true, true
 	case upstream.Silent:
-		d.report.Lost = !links.Connects(ctx, address)
+		d.report.Lost = !links.CanConnect(ctx, address)
 		d.report.Failed = d.report.Lost
 	case upstream.Closed, upstream.Stale:
 		d.report.Failed = true
