--- a/entry/upstream/exchange.go
+++ b/entry/upstream/exchange.go
@@ -11,73 +11,75 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of an exchange.
+// Limits of an exchange.
 const (
-	maxInform        = 16       // interim answers before the final one
-	maxStrayBytes    = 1 << 20  // of an answer to another request that is read over
-	maxInlineBytes   = 16 << 10 // bodies that are written before the answer is awaited
-	anyIdle          = time.Duration(math.MaxInt64)
-	retirementMargin = time.Second // siblings opened this much later are retired too
+	maxInterimResponses = 16       // before the final response
+	maxMismatchedBytes  = 1 << 20  // of a discarded response to another request
+	maxInlineBytes      = 16 << 10 // larger bodies are written while the response is awaited
+	unlimitedIdle       = time.Duration(math.MaxInt64)
+	retirementMargin    = time.Second // links opened this long after a silent one are retired with it
 )
 
 var (
-	errUnframed = errors.New("the end of the answer cannot be told from a cut")
-	errStray    = errors.New("the link holds the answer to another request")
-	errInform   = errors.New("unexpected or too many interim answers")
+	errCloseDelimited = errors.New("response body has no length; its end and a truncation look the same")
+	errMismatched     = errors.New("response belongs to another request")
+	errInterim        = errors.New("unexpected or too many interim responses")
 )
 
-// Exchange is one request and its answer on one link.
+// Exchange is one request and its response on one link.
 type Exchange struct {
-	links    *links
-	link     *Link
-	request  *http.Request
-	response *http.Response
-	body     *markedBody
-	sent     chan error // nil once the whole request is known to be sent
-	stop     func() bool
-	inform   func(code int, header http.Header)
-	header   string // that repeats the request's identity on its answer
-	identity string
-	unframed bool // answers may end with their link
-	maxIdle  time.Duration
-	strays   int
-	whole    bool // the answer was read to its end
-	closed   atomic.Bool
+	links          *instanceLinks
+	link           *Link
+	request        *http.Request
+	response       *http.Response
+	body           *requestBody
+	sent           chan error // result of the upload; nil channel if the request was written inline
+	stop           func() bool
+	onInterim      func(code int, header http.Header)
+	identityHeader string // response header that echoes the identity of the request
+	identity       string
+	closeDelimited bool // accept responses that end when their link is closed
+	maxIdle        time.Duration
+	mismatched     int
+	complete       bool // the response body was read to its end
+	closed         atomic.Bool
 }
 
-// SendOption changes how one request is sent.
+// SendOption configures one request.
 type SendOption func(*Exchange)
 
-// WithInterimHandler sets who is told of interim answers.
-func WithInterimHandler(inform func(code int, header http.Header)) SendOption {
-	return func(e *Exchange) { e.inform = inform }
+// WithInterimHandler sets a function that is called for each interim (1xx)
+// response except 100 Continue.
+func WithInterimHandler(handler func(code int, header http.Header)) SendOption {
+	return func(e *Exchange) { e.onInterim = handler }
 }
 
-// WithIdentity passes over answers that repeat another identity in a header: a
-// late answer to an earlier request on the link.
+// WithIdentity discards responses that echo another identity in the given
+// header, such as a late response to an earlier request on the same link.
 func WithIdentity(header, identity string) SendOption {
-	return func(e *Exchange) { e.header, e.identity = header, identity }
+	return func(e *Exchange) { e.identityHeader, e.identity = header, identity }
 }
 
-// WithCloseDelimited takes an answer without a length that ends with its link, which
-// is whole unless the link was reset.
-func WithCloseDelimited() SendOption { return func(e *Exchange) { e.unframed = true } }
+// WithCloseDelimited accepts a response without a length whose body ends when
+// the link is closed. It counts as complete unless the link was reset.
+func WithCloseDelimited() SendOption { return func(e *Exchange) { e.closeDelimited = true } }
 
-// WithMaxIdle allows only links that were used within a time, 0 for new ones.
+// WithMaxIdle reuses only links that were idle for at most d; with 0 a new link
+// is opened.
 func WithMaxIdle(d time.Duration) SendOption { return func(e *Exchange) { e.maxIdle = d } }
 
-// Send writes a request and reads the head of its answer. A body is written
-// while the answer is awaited; closing the body must end a read that waits.
+// Send writes a request and reads the header of its response. A large body is
+// written while the response is awaited; closing it must unblock a pending Read.
 func (p *Pool) Send(ctx context.Context, address string, req *http.Request, opts ...SendOption) (*Exchange, error) {
-	e := &Exchange{request: req, maxIdle: anyIdle}
+	e := &Exchange{request: req, maxIdle: unlimitedIdle}
 	for _, opt := range opts {
 		opt(e)
 	}
-	l, all, err := p.open(ctx, address, e.maxIdle)
+	l, links, err := p.open(ctx, address, e.maxIdle)
 	if err != nil {
 		return nil, err
 	}
-	e.link, e.links = l, all
+	e.link, e.links = l, links
 	before := l.written.Load()
 	e.stop = context.AfterFunc(ctx, l.close)
 	if err := e.exchange(); err != nil {
@@ -87,43 +89,45 @@
 }
 
 func (e *Exchange) exchange() error {
-	if err := e.link.beginHead(); err != nil {
+	if err := e.link.beginHeader(); err != nil {
 		return err
 	}
 	body := e.request.Body
 	inline := body == nil || body == http.NoBody
 	if !inline {
-		e.body = &markedBody{ReadCloser: body}
+		e.body = &requestBody{ReadCloser: body}
 		e.request.Body = e.body
 		inline = e.request.ContentLength > 0 && e.request.ContentLength <= maxInlineBytes
 	}
 	if !inline {
 		e.sent = make(chan error, 1)
 		go e.upload()
-		return e.readHead()
+		return e.readHeader()
 	}
 	if err := e.write(); err != nil {
-		return e.answerOr(err)
+		return e.responseOr(err)
 	}
-	return e.readHead()
+	return e.readHeader()
 }
 
-// upload sends the request while the answer is awaited. An answer can follow
-// a link that the instance closed for writing, but not a cut body or silence.
+// upload writes the request while the response is awaited. A write error alone
+// does not close the link, since the instance may still respond after it stopped
+// reading. After a body error or a timeout no response can follow.
 func (e *Exchange) upload() {
 	err := e.write()
-	// Told first: whoever sees the link closed then finds the cause.
+	// Sent before the link is closed, so that a reader that finds the link closed
+	// can get the cause.
 	e.sent <- err
 	if cause := causeOf(err); err != nil && (cause == Body || cause == Silent) {
 		e.link.close()
 	}
 }
 
-// answerOr reads an answer that came although the request could not be sent
-// whole, else returns the error of sending.
-func (e *Exchange) answerOr(sendErr error) error {
+// responseOr reads a response that arrived although the request could not be
+// sent completely. Without one it returns the error of sending.
+func (e *Exchange) responseOr(sendErr error) error {
 	var body bodyError
-	if errors.As(sendErr, &body) || e.readHead() != nil {
+	if errors.As(sendErr, &body) || e.readHeader() != nil {
 		return sendErr
 	}
 	e.response.Close = true
@@ -141,66 +145,67 @@
 	return errors.Wrap(e.link.writer.Flush(), "write request")
 }
 
-func (e *Exchange) readHead() error {
-	for range maxInform {
+func (e *Exchange) readHeader() error {
+	for range maxInterimResponses {
 		response, err := http.ReadResponse(e.link.reader, e.request)
 		if err != nil {
-			return errors.Wrap(err, "read answer")
+			return errors.Wrap(err, "read response")
 		}
-		if response.StatusCode >= http.StatusOK && e.stray(response) {
-			if err := e.skip(response); err != nil {
+		if response.StatusCode >= http.StatusOK && e.isMismatched(response) {
+			if err := e.discard(response); err != nil {
 				return err
 			}
 			continue
 		}
 		if response.StatusCode >= http.StatusOK {
 			e.response = response
-			e.link.inHead = false
-			return e.framed(response)
+			e.link.inHeader = false
+			return e.checkFraming(response)
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return errInform
+			return errInterim
 		}
-		if e.inform != nil && response.StatusCode != http.StatusContinue {
-			e.inform(response.StatusCode, response.Header)
+		if e.onInterim != nil && response.StatusCode != http.StatusContinue {
+			e.onInterim(response.StatusCode, response.Header)
 		}
 	}
-	return errInform
+	return errInterim
 }
 
-// stray reports whether an answer belongs to another request.
-func (e *Exchange) stray(response *http.Response) bool {
-	if e.header == "" {
+// isMismatched reports whether a response belongs to another request.
+func (e *Exchange) isMismatched(response *http.Response) bool {
+	if e.identityHeader == "" {
 		return false
 	}
-	got := response.Header.Get(e.header)
+	got := response.Header.Get(e.identityHeader)
 	return got != "" && got != e.identity
 }
 
-// skip reads an answer that belongs to another request to its end. The link is
-// not used again.
-func (e *Exchange) skip(response *http.Response) error {
+// discard reads a response to another request to its end. The link is not reused
+// afterwards.
+func (e *Exchange) discard(response *http.Response) error {
 	if framedBody := response.ContentLength >= 0 || len(response.TransferEncoding) > 0; !framedBody || response.Close {
-		return errStray
+		return errMismatched
 	}
-	e.strays++
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil {
-		return errors.Wrap(err, "read the answer to another request")
+	e.mismatched++
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBytes)); err != nil {
+		return errors.Wrap(err, "discard response to another request")
 	}
 	return nil
 }
 
-// framed refuses a body that ends with the link, since its end cannot be told
-// from a cut.
-func (e *Exchange) framed(response *http.Response) error {
-	if e.strays > 0 {
+// checkFraming rejects a body that ends when the link is closed, unless
+// close-delimited responses are accepted, since its end cannot be distinguished
+// from a truncation.
+func (e *Exchange) checkFraming(response *http.Response) error {
+	if e.mismatched > 0 {
 		response.Close = true
 	}
-	if e.unframed {
+	if e.closeDelimited {
 		return nil
 	}
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody {
-		return errUnframed
+		return errCloseDelimited
 	}
 	return nil
 }
@@ -217,7 +222,7 @@
 	case cause == Body:
 	case ctx.Err() != nil:
 		cause = Cancelled
-	case cause == Closed && e.link.reused && !e.link.heard:
+	case cause == Closed && e.link.reused && !e.link.responseStarted:
 		cause = Stale
 	}
 	if cause == Silent {
@@ -226,11 +231,12 @@
 	return &Failure{cause: cause, err: err, wrote: wrote, address: address}
 }
 
-// abort closes the link and waits for the writer, whose error it returns.
+// abort closes the link and waits for the upload. It returns the error of an
+// upload that had already ended.
 func (e *Exchange) abort() error {
 	e.stop()
 	e.link.close()
-	e.links.drop(e.link)
+	e.links.remove(e.link)
 	if e.sent == nil {
 		return nil
 	}
@@ -239,20 +245,21 @@
 		return err
 	default:
 	}
-	// A writer that waits for the caller's next bytes ends with the body.
+	// Closing the body unblocks an upload that waits for more bytes from the caller.
 	_ = e.request.Body.Close()
 	<-e.sent
 	return nil
 }
 
-// Response returns the answer's head.
+// Response returns the response header.
 func (e *Exchange) Response() *http.Response { return e.response }
 
-// Read reads the answer's body. Any error but io.EOF means that it was cut.
+// Read reads the response body. Any error other than io.EOF means that the body
+// was truncated.
 func (e *Exchange) Read(p []byte) (int, error) {
 	n, err := e.response.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		e.whole = true
+		e.complete = true
 		return n, io.EOF
 	}
 	if err != nil && causeOf(err) == Silent {
@@ -264,22 +271,22 @@
 // Uploading reports whether the request is still being sent.
 func (e *Exchange) Uploading() bool { return e.sent != nil && len(e.sent) == 0 }
 
-// Close ends the exchange. The link is kept only if the whole request was
-// sent and the whole answer was read.
+// Close ends the exchange. The link is returned to the pool only if the whole
+// request was sent and the whole response was read.
 func (e *Exchange) Close() {
 	if e.closed.Swap(true) {
 		return
 	}
 	if !e.reusable() || !e.stop() {
-		// The answer is known; how the rest of the request fared is not asked.
+		// The response is already delivered, so an upload error does not matter.
 		_ = e.abort()
 		return
 	}
-	e.links.give(e.link)
+	e.links.put(e.link)
 }
 
 func (e *Exchange) reusable() bool {
-	if !e.whole && e.response.Body != http.NoBody || e.response.Close || e.link.reader.Buffered() > 0 {
+	if !e.complete && e.response.Body != http.NoBody || e.response.Close || e.link.reader.Buffered() > 0 {
 		return false
 	}
 	if e.sent == nil {
@@ -294,15 +301,15 @@
 	}
 }
 
-// markedBody remembers an error of the body, which the writer of a request
-// does not tell from one of the link.
-type markedBody struct {
+// requestBody records read errors of the body, which http.Request.Write does not
+// distinguish from write errors of the link.
+type requestBody struct {
 	io.ReadCloser
 	err error
 }
 
-// Read reads the body.
-func (b *markedBody) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (b *requestBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.err = err
--- a/entry/upstream/failure.go
+++ b/entry/upstream/failure.go
@@ -7,22 +7,22 @@
 	"github.com/pkg/errors"
 )
 
-// Cause says why an exchange gave no answer.
+// Cause classifies why an exchange produced no response.
 type Cause string
 
 // Causes of failures.
 const (
 	Unopened  Cause = "unopened"  // no link could be opened
-	Full      Cause = "full"      // no link came free in time
+	Full      Cause = "full"      // the link limit was reached and no link became free in time
 	Closed    Cause = "closed"    // the instance closed or reset the link
-	Stale     Cause = "stale"     // as Closed, on a link that was kept idle, before a byte of the answer
-	Silent    Cause = "silent"    // nothing was heard or taken within the bound
-	Body      Cause = "body"      // the request's body could not be read
-	Malformed Cause = "malformed" // what came is no whole answer
-	Cancelled Cause = "cancelled" // the context ended
+	Stale     Cause = "stale"     // as Closed, on a reused link before the first byte of the response
+	Silent    Cause = "silent"    // the peer was silent or made no progress within the limit
+	Body      Cause = "body"      // reading the request body failed
+	Malformed Cause = "malformed" // the response is invalid or incomplete
+	Cancelled Cause = "cancelled" // the context was done
 )
 
-// Failure is an exchange that gave no answer.
+// Failure is the error of an exchange that produced no response.
 type Failure struct {
 	cause   Cause
 	err     error
@@ -30,35 +30,35 @@
 	address string
 }
 
-// Error returns the cause.
+// Error returns the cause and the underlying error.
 func (f *Failure) Error() string { return string(f.cause) + ": " + f.err.Error() }
 
-// Unwrap returns the error below.
+// Unwrap returns the underlying error.
 func (f *Failure) Unwrap() error { return f.err }
 
-// Cause returns what kind of failure it is.
+// Cause returns the class of the failure.
 func (f *Failure) Cause() Cause { return f.cause }
 
 // Wrote reports whether any byte of the request was written to the instance.
 func (f *Failure) Wrote() bool { return f.wrote }
 
-// bodyError is an error of the request's body, not of the link.
+// bodyError is an error from reading the request body rather than from the link.
 type bodyError struct{ error }
 
-// Unwrap returns the error of the body's reader.
+// Unwrap returns the error of the body reader.
 func (e bodyError) Unwrap() error { return e.error }
 
-// errProgress is given for a link that took or sent nothing within its bound.
-var errProgress = errors.New("no progress on the link")
+// errProgress means that a link transferred no bytes within its limit.
+var errProgress = errors.New("no progress on link")
 
-// causeOf classifies an error of a link.
+// causeOf maps an error of an exchange to its cause.
 func causeOf(err error) Cause {
 	var timeout net.Error
 	var body bodyError
 	switch {
 	case errors.As(err, &body):
 		return Body
-	case errors.Is(err, errHeadTooLarge), errors.Is(err, errUnframed), errors.Is(err, errInform), errors.Is(err, errStray):
+	case errors.Is(err, errHeaderTooLarge), errors.Is(err, errCloseDelimited), errors.Is(err, errInterim), errors.Is(err, errMismatched):
 		return Malformed
 	case errors.Is(err, syscall.ETIMEDOUT), errors.Is(err, errProgress):
 		return Silent
--- a/entry/upstream/link.go
+++ b/entry/upstream/link.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	maxHeadBytes     = 256 << 10 // of an answer, interim ones included
+	maxHeaderBytes   = 256 << 10 // of a response header, including interim responses
 	writeBufferBytes = 16 << 10
 )
 
-var errHeadTooLarge = errors.New("the head of the answer is too large")
+var errHeaderTooLarge = errors.New("response header too large")
 
-// Link is one connection to an instance.
+// Link is a persistent connection to an instance.
 type Link struct {
-	conn      net.Conn
-	reader    *bufio.Reader
-	writer    *bufio.Writer
-	openedAt  time.Time
-	idleSince time.Time
-	written   atomic.Int64
-	progress  time.Duration // bound on a write or read without a byte
-	headLeft  int           // bytes that the head of an answer may still take
-	inHead    bool
-	heard     bool // a byte of the current answer has come
-	reused    bool
-	silent    atomic.Bool // closed for want of a sign of life
+	conn            net.Conn
+	reader          *bufio.Reader
+	writer          *bufio.Writer
+	openedAt        time.Time
+	idleSince       time.Time
+	written         atomic.Int64
+	progress        time.Duration // limit on a read or write that transfers no byte
+	headerBytesLeft int           // bytes that the header of the current response may still take
+	inHeader        bool
+	responseStarted bool // a byte of the current response was received
+	reused          bool
+	silent          atomic.Bool // closed because it exceeded the silent limit
 }
 
 func newLink(conn net.Conn, progress time.Duration) *Link {
@@ -42,7 +42,8 @@
 	return l
 }
 
-// Write sends bytes, counts them and bounds the time without progress.
+// Write implements io.Writer. It counts the bytes written and sets a deadline
+// for progress.
 func (l *Link) Write(p []byte) (int, error) {
 	if err := l.conn.SetWriteDeadline(time.Now().Add(l.progress)); err != nil {
 		return 0, err
@@ -52,11 +53,11 @@
 	return n, err
 }
 
-// Read receives bytes. The head of an answer is bounded in size, its body in
-// the time without progress.
+// Read implements io.Reader. A response header is limited in size; a body has a
+// deadline for progress.
 func (l *Link) Read(p []byte) (int, error) {
-	if l.inHead {
-		return l.readHead(p)
+	if l.inHeader {
+		return l.readHeader(p)
 	}
 	if err := l.conn.SetReadDeadline(time.Now().Add(l.progress)); err != nil {
 		return 0, err
@@ -64,24 +65,24 @@
 	return l.conn.Read(p)
 }
 
-func (l *Link) readHead(p []byte) (int, error) {
-	if l.headLeft <= 0 {
-		return 0, errHeadTooLarge
+func (l *Link) readHeader(p []byte) (int, error) {
+	if l.headerBytesLeft <= 0 {
+		return 0, errHeaderTooLarge
 	}
 	n, err := l.conn.Read(p)
-	l.headLeft -= n
-	l.heard = l.heard || n > 0
+	l.headerBytesLeft -= n
+	l.responseStarted = l.responseStarted || n > 0
 	return n, err
 }
 
-// beginHead prepares the link for the head of the next answer, for which the
-// deadline of the request is the only bound of time.
-func (l *Link) beginHead() error {
-	l.inHead, l.headLeft, l.heard = true, maxHeadBytes, l.reader.Buffered() > 0
+// beginHeader prepares the link for the header of the next response. No read
+// deadline applies to it except that of the request's context.
+func (l *Link) beginHeader() error {
+	l.inHeader, l.headerBytesLeft, l.responseStarted = true, maxHeaderBytes, l.reader.Buffered() > 0
 	return l.conn.SetReadDeadline(time.Time{})
 }
 
-// usable reports whether an idle link may carry another request.
+// usable reports whether an idle link can be reused.
 func (l *Link) usable(now time.Time, idleLimit time.Duration) bool {
 	return now.Sub(l.idleSince) <= idleLimit && l.reader.Buffered() == 0 && link.Quiet(l.conn)
 }
@@ -89,8 +90,8 @@
 func (l *Link) close() { _ = l.conn.Close() }
 
 func isClosed(err error) bool {
-	for _, one := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, one) {
+	for _, target := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
--- a/entry/upstream/links.go
+++ b/entry/upstream/links.go
@@ -8,20 +8,22 @@
 	"github.com/snipebeam/snipebeam/world/link"
 )
 
-// links are the links to one instance.
-type links struct {
-	mu            sync.Mutex
-	limit         int
-	open          int     // idle, in use and being opened
-	idle          []*Link // used last stands last
-	inUse         map[*Link]struct{}
-	waiting       []chan struct{}
-	retiredBefore time.Time // links opened up to then are not used again
+// instanceLinks is the link pool of one instance.
+type instanceLinks struct {
+	mu          sync.Mutex
+	limit       int
+	open        int     // idle, in use or being opened
+	idle        []*Link // least recently used first
+	inUse       map[*Link]struct{}
+	waiters     []chan struct{}
+	retiredUpTo time.Time // links opened up to this time are not reused
 }
 
-// take returns an idle link, or no link and no channel if the caller may open
-// one, or a channel that is closed when it is worth another try.
-func (s *links) take(now time.Time, maxIdle time.Duration) (*Link, chan struct{}) {
+// get returns an idle link if there is a usable one. If it returns neither a
+// link nor a channel, a slot is reserved and the calling code opens a new link.
+// Otherwise the limit is reached and the channel is closed when a retry may
+// succeed.
+func (s *instanceLinks) get(now time.Time, maxIdle time.Duration) (*Link, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.idle) > 0 && maxIdle > 0 {
@@ -48,89 +50,90 @@
 		return nil, nil
 	}
 	wait := make(chan struct{})
-	s.waiting = append(s.waiting, wait)
+	s.waiters = append(s.waiters, wait)
 	return nil, wait
 }
 
-// use counts a link that was opened.
-func (s *links) use(l *Link) {
+// add registers a newly opened link as in use.
+func (s *instanceLinks) add(l *Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inUse[l] = struct{}{}
 }
 
-// give keeps a link for another request.
-func (s *links) give(l *Link) {
+// put returns a link to the pool for reuse.
+func (s *instanceLinks) put(l *Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.inUse, l)
-	if !l.openedAt.After(s.retiredBefore) || s.open > s.limit {
+	if !l.openedAt.After(s.retiredUpTo) || s.open > s.limit {
 		l.close()
 		s.open--
 	} else {
 		l.idleSince = time.Now()
 		s.idle = append(s.idle, l)
 	}
-	s.wake()
+	s.wakeOne()
 }
 
-// drop counts a link that is closed or was never opened.
-func (s *links) drop(l *Link) {
+// remove releases the slot of a link that was closed or could not be opened.
+func (s *instanceLinks) remove(l *Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.inUse, l)
 	s.open--
-	s.wake()
+	s.wakeOne()
 }
 
-func (s *links) wake() {
-	if len(s.waiting) > 0 {
-		close(s.waiting[0])
-		s.waiting = s.waiting[1:]
+func (s *instanceLinks) wakeOne() {
+	if len(s.waiters) > 0 {
+		close(s.waiters[0])
+		s.waiters = s.waiters[1:]
 	}
 }
 
-// leave ends a wait; a wake-up that came too late is passed on.
-func (s *links) leave(wait chan struct{}) {
+// cancelWait removes a waiter. If it was already woken, the next waiter is woken
+// in its place so that the wake-up is not lost.
+func (s *instanceLinks) cancelWait(wait chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := slices.Index(s.waiting, wait); n >= 0 {
-		s.waiting = slices.Delete(s.waiting, n, n+1)
+	if n := slices.Index(s.waiters, wait); n >= 0 {
+		s.waiters = slices.Delete(s.waiters, n, n+1)
 		return
 	}
-	s.wake()
+	s.wakeOne()
 }
 
-// retire closes the idle links that are as old as a link that went silent, and
-// keeps those in use from being used again.
-func (s *links) retire(upTo time.Time) {
+// retire closes the idle links opened up to the given time and prevents those in
+// use from being reused.
+func (s *instanceLinks) retire(upTo time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if upTo.After(s.retiredBefore) {
-		s.retiredBefore = upTo
+	if upTo.After(s.retiredUpTo) {
+		s.retiredUpTo = upTo
 	}
 	s.idle = slices.DeleteFunc(s.idle, func(l *Link) bool {
-		if l.openedAt.After(s.retiredBefore) {
+		if l.openedAt.After(s.retiredUpTo) {
 			return false
 		}
 		l.close()
 		s.open--
 		return true
 	})
-	s.wake()
+	s.wakeOne()
 }
 
-// closeSilent closes the links in use without a sign of life for too long and
-// retires their siblings.
-func (s *links) closeSilent(limit time.Duration) {
-	for _, l := range s.silentOnes(limit) {
+// closeSilent closes the links in use that exceed the silent limit and retires
+// the links that are at least as old.
+func (s *instanceLinks) closeSilent(limit time.Duration) {
+	for _, l := range s.silentLinks(limit) {
 		l.silent.Store(true)
 		l.close()
 		s.retire(l.openedAt.Add(retirementMargin))
 	}
 }
 
-func (s *links) silentOnes(limit time.Duration) []*Link {
+func (s *instanceLinks) silentLinks(limit time.Duration) []*Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var silent []*Link
@@ -142,8 +145,9 @@
 	return silent
 }
 
-// sweep closes links that were idle too long and reports whether none is left.
-func (s *links) sweep(now time.Time, idleLimit time.Duration) bool {
+// sweep closes idle links that exceed the idle limit or are no longer open, and
+// reports whether the pool is empty.
+func (s *instanceLinks) sweep(now time.Time, idleLimit time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = slices.DeleteFunc(s.idle, func(l *Link) bool {
@@ -154,17 +158,17 @@
 		s.open--
 		return true
 	})
-	return s.open == 0 && len(s.waiting) == 0
+	return s.open == 0 && len(s.waiters) == 0
 }
 
-// survivors returns how many idle links are kept and how many are still open.
-func (s *links) survivors() (kept, quiet int) {
+// countIdle returns the number of idle links and how many of them are still open.
+func (s *instanceLinks) countIdle() (idle, open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.idle {
 		if link.Quiet(l.conn) {
-			quiet++
+			open++
 		}
 	}
-	return len(s.idle), quiet
+	return len(s.idle), open
 }
--- a/entry/upstream/stray_test.go
+++ b/entry/upstream/mismatch_test.go
@@ -9,7 +9,7 @@
 	"github.com/snipebeam/snipebeam/entry/upstream"
 )
 
-func identified(t *testing.T, pool *upstream.Pool, address string, opts ...upstream.SendOption) (body string, err error) {
+func fetchIdentified(t *testing.T, pool *upstream.Pool, address string, opts ...upstream.SendOption) (body string, err error) {
 	req := get(t, "/x")
 	req.Header.Set("Request-Id", "7")
 	exchange, err := pool.Send(t.Context(), address, req, append(opts, upstream.WithIdentity("Request-Id", "7"))...)
@@ -30,42 +30,42 @@
 	return string(all), err
 }
 
-func TestTheAnswerToAnotherRequestIsPassedOver(t *testing.T) {
+func TestResponseToAnotherRequestIsDiscarded(t *testing.T) {
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-		take(r)
-		say(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 6\r\nContent-Length: 5\r\n\r\nother")
-		say(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 7\r\nContent-Length: 3\r\n\r\nown")
-		take(r)
+		readRequest(r)
+		write(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 6\r\nContent-Length: 5\r\n\r\nother")
+		write(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 7\r\nContent-Length: 3\r\n\r\nown")
+		readRequest(r)
 	})
 	pool := upstream.NewPool()
-	body, err := identified(t, pool, i.address())
+	body, err := fetchIdentified(t, pool, i.address())
 	must.NoError(t, err)
 	must.Eq(t, "own", body)
 	open, _ := pool.Links(i.address())
-	must.Eq(t, 0, open, must.Sprint("the link is in doubt"))
+	must.Eq(t, 0, open, must.Sprint("a link that carried a mismatched response was kept"))
 }
 
-func TestAnAnswerWithoutALengthIsWholeUnlessTheLinkIsReset(t *testing.T) {
+func TestCloseDelimitedResponseIsCompleteUnlessTheLinkIsReset(t *testing.T) {
 	for reset, want := range map[bool]string{false: "all of it", true: ""} {
 		i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-			take(r)
-			say(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 7\r\n\r\nall of it")
+			readRequest(r)
+			write(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 7\r\n\r\nall of it")
 			if reset {
 				_ = conn.SetLinger(0)
 			}
 			_ = conn.Close()
 		})
-		body, err := identified(t, upstream.NewPool(), i.address(), upstream.WithCloseDelimited())
+		body, err := fetchIdentified(t, upstream.NewPool(), i.address(), upstream.WithCloseDelimited())
 		must.Eq(t, reset, err != nil)
 		if !reset {
 			must.Eq(t, want, body)
 		}
 	}
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-		take(r)
-		say(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 7\r\n\r\nall of it")
+		readRequest(r)
+		write(conn, "HTTP/1.1 200 OK\r\nRequest-Id: 7\r\n\r\nall of it")
 		_ = conn.Close()
 	})
-	_, err := identified(t, upstream.NewPool(), i.address())
+	_, err := fetchIdentified(t, upstream.NewPool(), i.address())
 	must.Eq(t, upstream.Malformed, failureOf(t, err).Cause())
 }
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -1,11 +1,12 @@
-// Package upstream speaks HTTP/1.1 to instances over links that this host
-// owns, so that it knows whether a byte of a request was written and whether a
-// link may be used again.
+// Package upstream is an HTTP/1.1 client with a connection pool per instance.
+// Unlike net/http it reports whether any byte of a request was written, which
+// decides whether a failed request can be retried, and it controls when a
+// connection is reused. A persistent connection is called a link.
 //
-// A link is used again only if the whole request was sent, the whole answer
-// was read, and nothing has come since. Links that were idle for long are
-// closed, and a link that went silent takes with it all links to the same
-// instance that are at least as old.
+// A link is reused only if the whole request was sent, the whole response was
+// read, and no bytes have arrived since. Links that exceed the idle limit are
+// closed. When a link falls silent, all links to the same instance that are at
+// least as old are retired with it.
 //
 // Usage:
 //
@@ -28,7 +29,7 @@
 
 // Defaults of a pool.
 const (
-	// DefaultMaxLinks keeps 29 hosts under the 500 connections of an instance.
+	// DefaultMaxLinks keeps 29 hosts below an instance's limit of 500 connections.
 	DefaultMaxLinks  = 16
 	DefaultIdleLimit = 20 * time.Second
 	DefaultProgress  = 30 * time.Second
@@ -36,39 +37,42 @@
 
 const (
 	sweepInterval = time.Second
-	// silentShare is how often links in use are looked at in one silent limit.
-	silentShare = 8
+	// silentChecksPerLimit is the number of checks of links in use within one silent limit.
+	silentChecksPerLimit = 8
 )
 
-// Dial opens a connection to an address.
+// Dial opens a connection to the address of an instance.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool keeps the links to all instances.
+// Pool holds the links to all instances.
 type Pool struct {
 	dial      Dial
 	maxLinks  int
 	idleLimit time.Duration
 	progress  time.Duration
 	silent    time.Duration
-	instances sync.Map // address to *links
+	instances sync.Map // *instanceLinks by address
 }
 
-// Option changes one property of a pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithDial sets how links are opened.
+// WithDial sets the function that opens links.
 func WithDial(dial Dial) Option { return func(p *Pool) { p.dial = dial } }
 
-// WithMaxLinks bounds the links to one instance.
+// WithMaxLinks limits the number of links to one instance.
 func WithMaxLinks(n int) Option { return func(p *Pool) { p.maxLinks = n } }
 
-// WithIdleLimit bounds the time that a link is kept without a request.
+// WithIdleLimit limits how long an idle link is kept.
 func WithIdleLimit(d time.Duration) Option { return func(p *Pool) { p.idleLimit = d } }
 
-// WithProgress bounds the time that a body may stand still on a link.
+// WithProgress limits how long a write of a request or a read of a response body
+// may make no progress.
 func WithProgress(d time.Duration) Option { return func(p *Pool) { p.progress = d } }
 
-// WithSilentLimit bounds the time without a sign of life on a link in use.
+// WithSilentLimit limits how long the peer of a link in use may send neither
+// data nor acknowledgements. It also replaces the dial function by one with the
+// same limit.
 func WithSilentLimit(d time.Duration) Option {
 	return func(p *Pool) {
 		p.silent = d
@@ -95,13 +99,13 @@
 	return p
 }
 
-// Run closes links that were idle too long and links in use that went silent,
-// until the context ends.
+// Run closes links that exceed the idle limit and links in use that fall
+// silent, until the context is done.
 func (p *Pool) Run(ctx context.Context) {
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	look := time.NewTicker(p.silent / silentShare)
-	defer look.Stop()
+	silentCheck := time.NewTicker(p.silent / silentChecksPerLimit)
+	defer silentCheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -109,16 +113,17 @@
 			return
 		case now := <-sweep.C:
 			p.sweep(now)
-		case <-look.C:
+		case <-silentCheck.C:
 			p.CloseSilent()
 		}
 	}
 }
 
-// CloseSilent closes links in use that gave no sign of life for too long.
+// CloseSilent closes the links in use that exceed the silent limit and retires
+// the other links to the same instance that are at least as old.
 func (p *Pool) CloseSilent() {
 	p.instances.Range(func(_, value any) bool {
-		value.(*links).closeSilent(p.silent)
+		value.(*instanceLinks).closeSilent(p.silent)
 		return true
 	})
 }
@@ -128,29 +133,29 @@
 
 func (p *Pool) sweep(now time.Time) {
 	p.instances.Range(func(key, value any) bool {
-		if value.(*links).sweep(now, p.idleLimit) {
+		if value.(*instanceLinks).sweep(now, p.idleLimit) {
 			p.instances.Delete(key)
 		}
 		return true
 	})
 }
 
-func (p *Pool) of(address string) *links {
-	if all, ok := p.instances.Load(address); ok {
-		return all.(*links)
+func (p *Pool) linksTo(address string) *instanceLinks {
+	if existing, ok := p.instances.Load(address); ok {
+		return existing.(*instanceLinks)
 	}
-	all, _ := p.instances.LoadOrStore(address, &links{limit: p.maxLinks, inUse: map[*Link]struct{}{}})
-	return all.(*links)
+	created, _ := p.instances.LoadOrStore(address, &instanceLinks{limit: p.maxLinks, inUse: map[*Link]struct{}{}})
+	return created.(*instanceLinks)
 }
 
-// open returns a link: an idle one that was used within maxIdle, else a new
-// one. It waits while the instance has as many links as it may.
-func (p *Pool) open(ctx context.Context, address string, maxIdle time.Duration) (*Link, *links, error) {
-	all := p.of(address)
+// open returns an idle link that was used within maxIdle, or else a new one. It
+// blocks while all links to the instance are in use and their limit is reached.
+func (p *Pool) open(ctx context.Context, address string, maxIdle time.Duration) (*Link, *instanceLinks, error) {
+	links := p.linksTo(address)
 	for {
-		l, wait := all.take(time.Now(), min(maxIdle, p.idleLimit))
+		l, wait := links.get(time.Now(), min(maxIdle, p.idleLimit))
 		if l != nil {
-			return l, all, nil
+			return l, links, nil
 		}
 		if wait == nil {
 			break
@@ -158,26 +163,26 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			all.leave(wait)
-			return nil, all, &Failure{cause: Full, err: errors.New("all links to the instance are in use"), address: address}
+			links.cancelWait(wait)
+			return nil, links, &Failure{cause: Full, err: errors.New("link limit of the instance reached"), address: address}
 		}
 	}
 	conn, err := p.dial(ctx, address)
 	if err != nil {
-		all.drop(nil)
-		return nil, all, &Failure{cause: Unopened, err: err, address: address}
+		links.remove(nil)
+		return nil, links, &Failure{cause: Unopened, err: err, address: address}
 	}
 	l := newLink(conn, p.progress)
-	all.use(l)
-	return l, all, nil
+	links.add(l)
+	return l, links, nil
 }
 
-// Reachable reports whether an instance is there: an idle link is still open,
-// or, if none was kept, a new one can be opened.
+// Reachable reports whether an instance can be reached: at least one idle link
+// is still open or, if there are no idle links, a new one can be opened.
 func (p *Pool) Reachable(ctx context.Context, address string) bool {
-	all := p.of(address)
-	if kept, quiet := all.survivors(); kept > 0 {
-		return quiet > 0
+	links := p.linksTo(address)
+	if idle, open := links.countIdle(); idle > 0 {
+		return open > 0
 	}
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -197,11 +202,11 @@
 	return true
 }
 
-// Links returns the number of open links to an instance and how many of them
-// are idle.
+// Links returns the number of links to an instance, those being opened
+// included, and how many of them are idle.
 func (p *Pool) Links(address string) (open, idle int) {
-	all := p.of(address)
-	all.mu.Lock()
-	defer all.mu.Unlock()
-	return all.open, len(all.idle)
+	links := p.linksTo(address)
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	return links.open, len(links.idle)
 }
--- a/entry/upstream/pool_test.go
+++ b/entry/upstream/pool_test.go
@@ -19,7 +19,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// instance accepts connections and runs a script on each; it counts them.
+// instance is a test server that runs a script on each accepted connection and
+// counts the connections.
 type instance struct {
 	listener net.Listener
 	opened   atomic.Int32
@@ -45,8 +46,8 @@
 
 func (i *instance) address() string { return i.listener.Addr().String() }
 
-// take reads one request with its body and returns its path.
-func take(r *bufio.Reader) string {
+// readRequest reads one request with its body and returns its path.
+func readRequest(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return ""
@@ -55,7 +56,7 @@
 	return req.URL.Path
 }
 
-func say(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 func get(t *testing.T, path string) *http.Request {
 	t.Helper()
@@ -84,9 +85,9 @@
 
 func TestLinkIsReusedOnlyAfterAWholeExchange(t *testing.T) {
 	tests := map[string]struct {
-		answer string
-		links  int32
-		cut    bool
+		response string
+		links    int32
+		cut      bool
 	}{
 		"length":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 1, false},
 		"chunks":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1, false},
@@ -108,14 +109,14 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-				for take(r) == "/first" {
-					say(conn, test.answer)
+				for readRequest(r) == "/first" {
+					write(conn, test.response)
 					if test.cut {
 						_ = conn.Close()
 						return
 					}
 				}
-				say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
+				write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
 			})
 			pool := upstream.NewPool()
 			_, err := fetch(t, pool, i.address(), "/first")
@@ -130,7 +131,7 @@
 
 func TestUnreadAnswerIsNeverGivenToAnotherRequest(t *testing.T) {
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-		for path := take(r); path != ""; path = take(r) {
+		for path := readRequest(r); path != ""; path = readRequest(r) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(path), path)
 		}
 	})
@@ -146,15 +147,15 @@
 	must.Eq(t, 1, open)
 }
 
-func TestAnswerThatComesLateIsNotThatOfTheNextRequest(t *testing.T) {
+func TestLateAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	next := make(chan struct{})
 	i := serve(t, func(n int, conn *net.TCPConn, r *bufio.Reader) {
-		take(r)
-		say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
+		readRequest(r)
+		write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
 		if n == 1 {
 			<-next
 		}
-		say(conn, "right")
+		write(conn, "right")
 	})
 	pool := upstream.NewPool()
 	exchange, err := pool.Send(t.Context(), i.address(), get(t, "/left"))
@@ -170,19 +171,19 @@
 
 func TestFailureSaysWhetherAByteWasWritten(t *testing.T) {
 	reset := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-		take(r)
+		readRequest(r)
 		_ = conn.SetLinger(0)
 		_ = conn.Close()
 	})
-	gone := serve(t, nil)
-	must.NoError(t, gone.listener.Close())
+	down := serve(t, nil)
+	must.NoError(t, down.listener.Close())
 	pool := upstream.NewPool()
 
 	_, err := fetch(t, pool, reset.address(), "/")
 	must.True(t, failureOf(t, err).Wrote())
 	must.Eq(t, upstream.Closed, failureOf(t, err).Cause())
 
-	_, err = fetch(t, pool, gone.address(), "/")
+	_, err = fetch(t, pool, down.address(), "/")
 	must.False(t, failureOf(t, err).Wrote())
 	must.Eq(t, upstream.Unopened, failureOf(t, err).Cause())
 }
@@ -190,8 +191,8 @@
 func TestLinkClosedWhileIdleIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	i := serve(t, func(n int, conn *net.TCPConn, r *bufio.Reader) {
-		take(r)
-		say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		readRequest(r)
+		write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if n == 1 {
 			_ = conn.Close()
 			close(closed)
@@ -208,9 +209,9 @@
 
 func TestLinkClosedAsTheRequestArrivesIsStale(t *testing.T) {
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-		take(r)
-		say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		take(r)
+		readRequest(r)
+		write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		readRequest(r)
 		_ = conn.Close()
 	})
 	pool := upstream.NewPool()
@@ -221,12 +222,12 @@
 	must.True(t, failureOf(t, err).Wrote())
 }
 
-func TestAtMostSoManyLinksAreOpen(t *testing.T) {
+func TestOpenLinksAreLimited(t *testing.T) {
 	release := make(chan struct{})
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
-		for take(r) != "" {
+		for readRequest(r) != "" {
 			<-release
-			say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+			write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
 	pool := upstream.NewPool(upstream.WithMaxLinks(2))
@@ -257,7 +258,7 @@
 func TestEarlyAnswerEndsTheUpload(t *testing.T) {
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
-		say(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno")
+		write(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno")
 	})
 	pool := upstream.NewPool()
 	reader, writer := io.Pipe()
@@ -276,11 +277,11 @@
 }
 
 func TestCutBodyCutsTheRequest(t *testing.T) {
-	seen := make(chan error, 1)
+	readErr := make(chan error, 1)
 	i := serve(t, func(_ int, _ *net.TCPConn, r *bufio.Reader) {
 		req, _ := http.ReadRequest(r)
 		_, err := io.Copy(io.Discard, req.Body)
-		seen <- err
+		readErr <- err
 	})
 	pool := upstream.NewPool()
 	broken := io.MultiReader(bytes.NewReader(make([]byte, 50<<10)), brokenReader{})
@@ -289,16 +290,16 @@
 	req.ContentLength = -1
 	_, err = pool.Send(t.Context(), i.address(), req)
 	must.Eq(t, upstream.Body, failureOf(t, err).Cause())
-	must.Error(t, <-seen)
+	must.Error(t, <-readErr)
 }
 
 type brokenReader struct{}
 
-func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("caller gone") }
+func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("caller disconnected") }
 
-// deafen makes a socket drop whatever arrives, unacknowledged, as a middlebox
-// does that has lost track of a connection.
-func deafen(t *testing.T, conn *net.TCPConn) {
+// dropIncoming makes a socket drop all incoming packets without acknowledging
+// them, like a middlebox that has lost its state of the connection.
+func dropIncoming(t *testing.T, conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	must.NoError(t, err)
 	drop := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
@@ -313,7 +314,7 @@
 	conns := make(chan *net.TCPConn, 10)
 	i := serve(t, func(n int, conn *net.TCPConn, r *bufio.Reader) {
 		conns <- conn
-		for take(r) != "" {
+		for readRequest(r) != "" {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 		}
 	})
@@ -329,7 +330,7 @@
 		_, err := io.ReadAll(exchange)
 		must.NoError(t, err)
 		exchange.Close()
-		deafen(t, <-conns)
+		dropIncoming(t, <-conns)
 	}
 	_, err := fetch(t, pool, i.address(), "/")
 	must.Eq(t, upstream.Silent, failureOf(t, err).Cause())
