--- a/entry/gossip/datagram.go
+++ b/entry/gossip/datagram.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	format   = 1 // first byte of a datagram
-	macBytes = key.MACBytes
+	formatVersion = 1 // first byte of a datagram
+	macBytes      = key.MACBytes
 )
 
 // Errors of a datagram.
 var (
-	ErrMalformed       = errors.New("the datagram is malformed")
-	ErrUnauthenticated = errors.New("the datagram carries no accepted key's code")
+	ErrMalformed       = errors.New("malformed datagram")
+	ErrUnauthenticated = errors.New("datagram authentication code matches no accepted key")
 )
 
-// Codec encodes and authenticates datagrams: one byte of format, the
-// authentication code, and the message.
+// Codec encodes and authenticates datagrams. A datagram consists of one byte for
+// the format version, the authentication code and the message.
 type Codec struct {
 	ring *key.Ring
 }
 
-// NewCodec returns a codec with the keys of a ring.
+// NewCodec returns a codec that uses the keys of a ring.
 func NewCodec(ring *key.Ring) *Codec { return &Codec{ring: ring} }
 
-// Encode returns the bytes of a datagram.
+// Encode returns the authenticated encoding of a datagram.
 func (c *Codec) Encode(d *wire.GossipDatagram) ([]byte, error) {
 	data := make([]byte, 1+macBytes, MaxDatagramBytes)
-	data[0] = format
+	data[0] = formatVersion
 	data, err := proto.MarshalOptions{}.MarshalAppend(data, d)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode datagram")
@@ -39,9 +39,9 @@
 	return data, nil
 }
 
-// Decode checks and reads a datagram.
+// Decode authenticates and decodes a datagram.
 func (c *Codec) Decode(data []byte) (*wire.GossipDatagram, error) {
-	if len(data) < 1+macBytes || len(data) > MaxDatagramBytes || data[0] != format {
+	if len(data) < 1+macBytes || len(data) > MaxDatagramBytes || data[0] != formatVersion {
 		return nil, ErrMalformed
 	}
 	body := data[1+macBytes:]
--- a/entry/gossip/exchange.go
+++ b/entry/gossip/exchange.go
@@ -8,26 +8,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of one exchange.
+// Limits of one anti-entropy exchange.
 const (
 	maxSummaryKeys   = 60
 	maxWanted        = 40
-	pullAfterBuckets = bucketCount / 2 // so many differ: fetch the whole state
+	pullAfterBuckets = bucketCount / 2 // if more buckets differ, the full state is pulled
 	earlyPulls       = 3
 )
 
-// Times between fetches of the whole state.
+// Minimum intervals between pulls of the full state.
 const (
 	pullInterval      = 30 * time.Second
 	earlyPullInterval = time.Second
 )
 
-// syncTick compares digests with a random host, and now and then with one that
-// was lost, so that the halves of a partition find each other again.
+// syncTick sends digests to a random host and periodically pings a dead one, so
+// that a healed partition merges again.
 func (c *Core) syncTick() {
 	if c.now >= c.nextSync {
 		c.nextSync = c.now + syncInterval
-		for _, name := range c.pick(1, "") {
+		for _, name := range c.randomPeers(1, "") {
 			c.sendDigests(name)
 		}
 	}
@@ -37,13 +37,13 @@
 	}
 }
 
-// pullTick fetches the whole state a few times after the start, when many
-// hosts may have started at once and knew little.
+// pullTick pulls the full state a few times after startup, since hosts that
+// started at the same time may have had little state in the first pull.
 func (c *Core) pullTick() {
 	if c.earlyPulls == 0 || c.now < c.nextEarlyPull {
 		return
 	}
-	for _, name := range c.pick(1, "") {
+	for _, name := range c.randomPeers(1, "") {
 		c.earlyPulls--
 		c.nextEarlyPull = c.now + earlyPullInterval
 		c.pull(name)
@@ -56,31 +56,31 @@
 }
 
 func (c *Core) sendDigests(name string) {
-	c.send(name, &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_DIGEST, Digests: c.index.digests[:]}, exchange)
+	c.send(name, &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_DIGEST, Digests: c.index.digests[:]}, priorityNormal)
 }
 
 func (c *Core) rejoin() {
-	var lost []string
+	var dead []string
 	for name, h := range c.hosts {
 		if h.record.GetStatus() == wire.HostStatus_HOST_DEAD {
-			lost = append(lost, name)
+			dead = append(dead, name)
 		}
 	}
-	if len(lost) == 0 {
+	if len(dead) == 0 {
 		return
 	}
-	sort.Strings(lost)
-	c.ping(lost[c.random.IntN(len(lost))], c.random.Uint64())
+	sort.Strings(dead)
+	c.ping(dead[c.random.IntN(len(dead))], c.random.Uint64())
 }
 
-// compared answers digests with a summary of some groups that differ.
-func (c *Core) compared(d *wire.GossipDatagram) {
+// handleDigests replies to digests with a summary of random buckets that differ.
+func (c *Core) handleDigests(d *wire.GossipDatagram) {
 	if len(d.GetDigests()) != bucketCount {
 		return
 	}
 	var differ []int
-	for n, theirs := range d.GetDigests() {
-		if theirs != c.index.digests[n] {
+	for n, remote := range d.GetDigests() {
+		if remote != c.index.digests[n] {
 			differ = append(differ, n)
 		}
 	}
@@ -91,23 +91,23 @@
 		c.pull(d.GetFrom())
 	}
 	c.random.Shuffle(len(differ), func(i, j int) { differ[i], differ[j] = differ[j], differ[i] })
-	answer := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_SUMMARY}
+	reply := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_SUMMARY}
 	for _, n := range differ {
-		if len(answer.GetSummary()) > 0 && len(answer.GetSummary())+len(c.index.keys[n]) > maxSummaryKeys {
+		if len(reply.GetSummary()) > 0 && len(reply.GetSummary())+len(c.index.keys[n]) > maxSummaryKeys {
 			break
 		}
-		answer.Buckets = append(answer.Buckets, uint32(n))
-		c.summarize(answer, n)
+		reply.Buckets = append(reply.Buckets, uint32(n))
+		c.appendSummary(reply, n)
 	}
-	c.send(d.GetFrom(), answer, exchange)
+	c.send(d.GetFrom(), reply, priorityNormal)
 }
 
-func (c *Core) summarize(answer *wire.GossipDatagram, n int) {
+func (c *Core) appendSummary(reply *wire.GossipDatagram, n int) {
 	for _, hash := range sortedHashes(c.index.keys[n]) {
-		if len(answer.GetSummary()) == maxSummaryKeys {
+		if len(reply.GetSummary()) == maxSummaryKeys {
 			return
 		}
-		answer.Summary = append(answer.Summary, &wire.GossipKey{Key: hash, Digest: c.digestOf(c.index.keys[n][hash])})
+		reply.Summary = append(reply.Summary, &wire.GossipKey{Key: hash, Digest: c.digestOf(c.index.keys[n][hash])})
 	}
 }
 
@@ -124,37 +124,37 @@
 	if key[:1] == hostKind {
 		return hostDigest(c.hosts[key[1:]].record)
 	}
-	return instanceDigest(c.instances[key[1:]].message)
+	return instanceDigest(c.instances[key[1:]].record)
 }
 
-// summarized answers a summary with this host's own records where they differ,
-// and with the keys of those it does not have.
-func (c *Core) summarized(d *wire.GossipDatagram) {
-	answer := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_RECORDS}
-	theirs := map[uint64]uint32{}
+// handleSummary replies to a summary with the local records that differ, and with
+// the keys of the records that are missing here.
+func (c *Core) handleSummary(d *wire.GossipDatagram) {
+	reply := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_RECORDS}
+	remote := map[uint64]uint32{}
 	for _, one := range d.GetSummary() {
-		theirs[one.GetKey()] = one.GetDigest()
-		if _, known := c.index.find(one.GetKey()); !known && len(answer.GetWanted()) < maxWanted {
-			answer.Wanted = append(answer.Wanted, one.GetKey())
+		remote[one.GetKey()] = one.GetDigest()
+		if _, known := c.index.find(one.GetKey()); !known && len(reply.GetWanted()) < maxWanted {
+			reply.Wanted = append(reply.Wanted, one.GetKey())
 		}
 	}
 	for _, n := range d.GetBuckets() {
 		if n < bucketCount {
-			c.appendDiffering(answer, int(n), theirs)
+			c.appendDiffering(reply, int(n), remote)
 		}
 	}
-	if len(answer.GetWanted())+len(answer.GetHosts())+len(answer.GetInstances()) > 0 {
-		c.send(d.GetFrom(), answer, exchange)
+	if len(reply.GetWanted())+len(reply.GetHosts())+len(reply.GetInstances()) > 0 {
+		c.send(d.GetFrom(), reply, priorityNormal)
 	}
 }
 
-func (c *Core) appendDiffering(answer *wire.GossipDatagram, n int, theirs map[uint64]uint32) {
+func (c *Core) appendDiffering(reply *wire.GossipDatagram, n int, remote map[uint64]uint32) {
 	for _, hash := range sortedHashes(c.index.keys[n]) {
 		key := c.index.keys[n][hash]
-		if digest, known := theirs[hash]; known && digest == c.digestOf(key) {
+		if digest, known := remote[hash]; known && digest == c.digestOf(key) {
 			continue
 		}
-		c.appendIfRoom(answer, key)
+		c.appendIfRoom(reply, key)
 	}
 }
 
@@ -164,19 +164,19 @@
 	}
 }
 
-// exchanged answers wishes, and sends the known record where the sender's was
-// older.
-func (c *Core) exchanged(d *wire.GossipDatagram, stale []string) {
-	answer := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_RECORDS}
+// handleRecords replies with the records that the sender wants and with those of
+// which the sender has an older version.
+func (c *Core) handleRecords(d *wire.GossipDatagram, stale []string) {
+	reply := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_RECORDS}
 	for _, key := range stale {
-		c.appendIfRoom(answer, key)
+		c.appendIfRoom(reply, key)
 	}
 	for _, hash := range d.GetWanted() {
 		if key, known := c.index.find(hash); known {
-			c.appendIfRoom(answer, key)
+			c.appendIfRoom(reply, key)
 		}
 	}
-	if len(answer.GetHosts())+len(answer.GetInstances()) > 0 {
-		c.send(d.GetFrom(), answer, exchange)
+	if len(reply.GetHosts())+len(reply.GetInstances()) > 0 {
+		c.send(d.GetFrom(), reply, priorityNormal)
 	}
 }
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -1,17 +1,19 @@
-// Package gossip is the membership protocol of the entry hosts. Each host
-// learns which other hosts are alive and which instances announced themselves
-// anywhere, by datagrams of bounded size at a bounded rate.
+// Package gossip implements the membership protocol of the entry hosts, a
+// variant of SWIM. It tracks which hosts are alive and which instances are
+// announced on any of them, with datagrams of bounded size at a bounded rate.
 //
-// Hosts probe each other in turn, directly and then through others, and hold a
-// silent host under suspicion before they call it dead, so that it can refute.
-// The entry host that hears an instance owns its lease and passes on changes,
-// never renewals. Records form a total order and merge by taking the larger
-// one, so loss, duplication and reordering of datagrams do no harm. What
-// dissemination missed is found by exchanging digests with a random host.
+// Each host probes the others in shuffled round-robin order, first directly and
+// then indirectly through other hosts. A host that does not respond is marked
+// suspect before it is marked dead, so that it can refute the suspicion. The
+// entry host that receives the heartbeats of an instance owns its lease and
+// disseminates changes but not renewals. Records are totally ordered and a merge
+// keeps the greater one, so loss, duplication and reordering of datagrams do no
+// harm. Updates that dissemination missed are found by anti-entropy: a periodic
+// exchange of digests with a random host.
 //
-// A Core reads no clock and no random source and opens no socket: the time
-// since an arbitrary start and a random source are handed in, and datagrams
-// come out. Times are never compared between hosts.
+// A Core is deterministic and does no I/O: it takes the time since an arbitrary
+// start and a random source as arguments and returns the datagrams to send.
+// Times are never compared between hosts.
 //
 // Usage:
 //
@@ -28,7 +30,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Times of the protocol.
+// Intervals and timeouts of the protocol.
 const (
 	TickInterval   = 100 * time.Millisecond
 	LeaseTime      = 3 * time.Second
@@ -36,22 +38,22 @@
 	directTimeout  = 300 * time.Millisecond
 	syncInterval   = 2 * time.Second
 	rejoinInterval = 2 * time.Second
-	pauseLimit     = 500 * time.Millisecond // a longer gap between ticks is this host's own fault
+	pauseLimit     = 500 * time.Millisecond // a longer gap between ticks means that this process was paused
 
-	// tombstoneTime is longer than orphanLimit: whoever still holds a live
-	// record of a lost owner drops it before others forget that it ended.
-	tombstoneTime = 20 * time.Minute
-	orphanLimit   = 10 * time.Minute
+	// tombstoneRetention exceeds orphanLimit, so that every host drops its live
+	// records of a dead owner's instances before others expire the tombstones.
+	tombstoneRetention = 20 * time.Minute
+	orphanLimit        = 10 * time.Minute
 )
 
-// Counts of the protocol.
+// Fan-out and dissemination limits of the protocol.
 const (
-	fanout           = 3 // hosts that news is sent to in one tick
-	indirectProbes   = 3
-	urgentFactor     = 2 // sends of urgent news, as a multiple
-	spreadExtra      = 3 // sends of one change, and one more for each doubling of the hosts
-	suspicionBase    = 2 * time.Second
-	suspicionPerStep = 500 * time.Millisecond // for each doubling of the hosts
+	fanout               = 3 // hosts that updates are sent to in one tick
+	indirectProbes       = 3
+	urgentFactor         = 2 // multiplies the transmit limit of urgent updates
+	transmitBase         = 3 // transmits of one update, plus one for each doubling of the number of hosts
+	suspicionBase        = 2 * time.Second
+	suspicionPerDoubling = 500 * time.Millisecond // added for each doubling of the number of hosts
 )
 
 // Send is one datagram to one address.
@@ -60,40 +62,39 @@
 	Datagram *wire.GossipDatagram
 }
 
-// Output is what a step asks its driver to do.
+// Output lists what the driver has to do after a step.
 type Output struct {
 	Sends []Send
 	// Instances are the ids of the instances that changed.
 	Instances []string
-	// HostsChanged is set when a host joined, changed or was lost.
+	// HostsChanged is set when a host joined, changed, left or died.
 	HostsChanged bool
-	// Pull names the address of a host to fetch the whole state from.
+	// Pull is the address of a host to fetch the full state from, if not empty.
 	Pull string
-	// Checks are instances whose owner is lost and that this host shall try
-	// to connect to; see Checked.
+	// Checks are instances that the driver must try to connect to because the
+	// owner is dead or has left; see ReportCheck.
 	Checks []*wire.Instance
 }
 
-// Core is the state of one host. Its methods must not be called at the same
-// time.
+// Core is the protocol state of one host. It is not safe for concurrent use.
 type Core struct {
 	options
 	random *rand.Rand
 	now    time.Duration
 	out    Output
 
-	self      *wire.GossipHost
-	sequence  uint64
-	hosts     map[string]*host
-	ring      []string // names in probe order
-	probes    map[uint64]*probe
-	relays    map[uint64]relay
-	instances map[string]*record
-	news      newsQueue
-	budget    bucket
-	index     index
+	self       *wire.GossipHost
+	sequence   uint64
+	hosts      map[string]*host
+	probeOrder []string // remaining targets of the current probe round, last one first
+	probes     map[uint64]*probe
+	relays     map[uint64]relay
+	instances  map[string]*instance
+	updates    updateQueue
+	budget     tokenBucket
+	index      index
 
-	live []string // the other live hosts, nil when it must be made again
+	livePeers []string // cache of peers, nil when it is invalid
 
 	earlyPulls int
 
@@ -101,61 +102,63 @@
 }
 
 type options struct {
-	rate  int // bytes a second
+	rate  int // bytes per second
 	burst int
 }
 
-// Option changes one property of a core.
+// Option configures a Core.
 type Option func(*options)
 
-// WithRate bounds what this host sends, in bytes a second.
+// WithRate limits the send rate of this host, in bytes per second.
 func WithRate(n int) Option {
 	return func(o *options) { o.rate, o.burst = n, 2*n }
 }
 
-// DefaultRate is the bound of what a host sends, in bytes a second.
+// DefaultRate is the default limit of the send rate, in bytes per second.
 const DefaultRate = 3072
 
-// New returns the core of a host that knows no other host yet.
+// New returns the core of a host that has no peers yet.
 func New(self *wire.GossipHost, random *rand.Rand, opts ...Option) *Core {
 	c := &Core{
 		random: random, hosts: map[string]*host{}, probes: map[uint64]*probe{}, relays: map[uint64]relay{},
-		instances: map[string]*record{}, earlyPulls: earlyPulls,
+		instances: map[string]*instance{}, earlyPulls: earlyPulls,
 	}
 	WithRate(DefaultRate)(&c.options)
 	for _, opt := range opts {
 		opt(&c.options)
 	}
-	c.budget = newBucket(c.rate, c.burst)
+	c.budget = newTokenBucket(c.rate, c.burst)
 	c.self = clone(self)
 	c.self.Status = wire.HostStatus_HOST_ALIVE
 	c.self.Revision = 1
 	c.hosts[self.GetName()] = &host{record: c.self}
 	c.indexHost(c.self)
-	c.news.add(hostKey(self.GetName()), false)
+	c.updates.add(hostKey(self.GetName()), false)
 	return c
 }
 
-// Tick lets time pass.
+// Tick advances the protocol to now. It is called every TickInterval.
 func (c *Core) Tick(now time.Duration) Output {
 	gap := now - c.tickedAt
 	c.now, c.tickedAt = max(c.now, now), now
 	if gap > pauseLimit {
-		c.pardon(gap)
+		c.compensatePause(gap)
 	}
 	c.probeTick()
 	c.suspicionTick()
 	c.leaseTick()
 	c.syncTick()
 	c.pullTick()
-	c.newsTick()
-	c.forgetTick()
-	return c.take()
+	c.disseminateTick()
+	c.expireTick()
+	return c.takeOutput()
 }
 
-// pardon forgives probes that ran while this host itself stood still, and
-// forgets what others may have buried meanwhile.
-func (c *Core) pardon(gap time.Duration) {
+// compensatePause drops the probes that were in flight while this process was
+// paused and extends deadlines by the gap, so that the pause is not blamed on
+// others. After a pause longer than tombstoneRetention it also drops the instance
+// records that other hosts own, since their tombstones may have expired elsewhere.
+func (c *Core) compensatePause(gap time.Duration) {
 	clear(c.probes)
 	for _, h := range c.hosts {
 		h.suspectUntil += gap
@@ -163,21 +166,21 @@
 	for _, r := range c.instances {
 		r.leaseUntil += gap
 	}
-	if gap > tombstoneTime {
-		c.forgetForeign()
+	if gap > tombstoneRetention {
+		c.dropRemote()
 	}
 }
 
-func (c *Core) take() Output {
+func (c *Core) takeOutput() Output {
 	out := c.out
 	c.out = Output{}
 	return out
 }
 
-// Self returns this host's own record.
+// Self returns the record of this host.
 func (c *Core) Self() *wire.GossipHost { return c.self }
 
-// SetState changes what this host says of its own state.
+// SetState changes the state in the record of this host.
 func (c *Core) SetState(now time.Duration, state string) Output {
 	c.now = max(c.now, now)
 	if c.self.GetState() != state {
@@ -186,10 +189,10 @@
 		next.Revision++
 		c.putSelf(next)
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
-// Leave tells some hosts at once that this host leaves.
+// Leave marks this host as left and sends the update without waiting for ticks.
 func (c *Core) Leave(now time.Duration) Output {
 	c.now = max(c.now, now)
 	next := clone(c.self)
@@ -197,9 +200,9 @@
 	next.Revision++
 	c.putSelf(next)
 	for range fanout {
-		c.newsTick()
+		c.disseminateTick()
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) putSelf(next *wire.GossipHost) {
@@ -207,6 +210,6 @@
 	c.self = next
 	c.hosts[next.GetName()].record = next
 	c.indexHost(next)
-	c.news.add(hostKey(next.GetName()), true)
+	c.updates.add(hostKey(next.GetName()), true)
 	c.out.HostsChanged = true
 }
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -10,14 +10,14 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// settleTime is enough for a group of 29 to agree on who is there.
-const settleTime = 12 * time.Second
+// convergenceTime is enough for a group of 29 hosts to agree on the membership.
+const convergenceTime = 12 * time.Second
 
 func TestHostsFindEachOtherFromOneSeed(t *testing.T) {
 	w := newNetwork(29, 1)
 	w.loss = 0.05
-	w.run(settleTime)
-	must.NoError(t, w.settled())
+	w.run(convergenceTime)
+	must.NoError(t, w.converged())
 }
 
 func TestDrainingIsSeenByAllWithinTwoSeconds(t *testing.T) {
@@ -26,18 +26,18 @@
 		for n := range 31 {
 			w.announce(fmt.Sprintf("i%d", n), w.nodes[n%29].name)
 		}
-		w.run(settleTime)
-		must.NoError(t, w.settled())
+		w.run(convergenceTime)
+		must.NoError(t, w.converged())
 		w.loss = 0.1
-		w.beats["i3"].message.Draining = true
-		took := w.spread(10*time.Second, func(n *node) bool { return n.core.Instance("i3").GetDraining() })
+		w.heartbeats["i3"].message.Draining = true
+		took := w.timeUntil(10*time.Second, func(n *node) bool { return n.core.Instance("i3").GetDraining() })
 		must.LessEq(t, 2*time.Second, took)
-		b := w.beats["i5"]
-		delete(w.beats, "i5")
+		b := w.heartbeats["i5"]
+		delete(w.heartbeats, "i5")
 		out, err := w.byName[b.entry].core.Withdraw(w.clock(w.byName[b.entry]), "i5", 1)
 		must.NoError(t, err)
-		w.carry(w.byName[b.entry], out)
-		took = w.spread(10*time.Second, func(n *node) bool { return !n.core.Usable("i5") })
+		w.apply(w.byName[b.entry], out)
+		took = w.timeUntil(10*time.Second, func(n *node) bool { return !n.core.Usable("i5") })
 		must.LessEq(t, 2*time.Second, took)
 	}
 }
@@ -45,9 +45,9 @@
 func TestSilentInstanceIsDroppedAfterItsLease(t *testing.T) {
 	w := newNetwork(29, 2)
 	w.announce("i", "e03")
-	w.run(settleTime)
-	delete(w.beats, "i")
-	took := w.spread(20*time.Second, func(n *node) bool { return !n.core.Usable("i") })
+	w.run(convergenceTime)
+	delete(w.heartbeats, "i")
+	took := w.timeUntil(20*time.Second, func(n *node) bool { return !n.core.Usable("i") })
 	must.Between(t, gossip.LeaseTime-time.Second, took, gossip.LeaseTime+2*time.Second)
 }
 
@@ -55,7 +55,7 @@
 	w := newNetwork(29, 3)
 	w.announce("i", "e03")
 	w.connects["i"] = false
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.byName["e03"].down = true
 	for range 300 {
 		w.run(100 * time.Millisecond)
@@ -63,17 +63,17 @@
 			must.True(t, n.down || n.core.Usable("i"), must.Sprintf("%s at %s", n.name, w.now))
 		}
 	}
-	must.NoError(t, w.settled())
+	must.NoError(t, w.converged())
 }
 
 func TestInstanceLostWithItsHostIsDropped(t *testing.T) {
 	w := newNetwork(9, 4)
 	w.announce("i", "e03")
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.byName["e03"].down = true
-	delete(w.beats, "i")
+	delete(w.heartbeats, "i")
 	w.connects["i"] = false
-	took := w.spread(60*time.Second, func(n *node) bool { return !n.core.Usable("i") })
+	took := w.timeUntil(60*time.Second, func(n *node) bool { return !n.core.Usable("i") })
 	must.LessEq(t, 20*time.Second, took)
 }
 
@@ -83,19 +83,19 @@
 		name := w.nodes[n].name
 		w.announce(fmt.Sprintf("i%d", n), name).reaches = func(entry string) bool { return entry == name }
 	}
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.partition(5)
 	for range 600 {
 		w.run(100 * time.Millisecond)
 		for _, n := range w.nodes {
-			for id := range w.beats {
+			for id := range w.heartbeats {
 				must.True(t, n.core.Usable(id), must.Sprintf("%s lost %s at %s", n.name, id, w.now))
 			}
 		}
 	}
 	w.heal()
-	w.run(settleTime)
-	must.NoError(t, w.settled())
+	w.run(convergenceTime)
+	must.NoError(t, w.converged())
 	for n := range 10 {
 		must.Eq(t, w.nodes[n].name, w.nodes[0].core.Instance(fmt.Sprintf("i%d", n)).GetHeardBy())
 	}
@@ -104,23 +104,23 @@
 func TestPartitionedHalfDropsWhatItCannotReach(t *testing.T) {
 	w := newNetwork(10, 6)
 	w.announce("i", "e07").reaches = func(entry string) bool { return entry == "e07" }
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.connects["i"] = false
 	w.partition(5)
 	w.run(30 * time.Second)
 	must.False(t, w.nodes[0].core.Usable("i"))
 	must.True(t, w.nodes[7].core.Usable("i"))
 	w.heal()
-	w.run(settleTime)
-	must.NoError(t, w.settled())
+	w.run(convergenceTime)
+	must.NoError(t, w.converged())
 }
 
 func TestOldIncarnationNeverComesBack(t *testing.T) {
 	w := newNetwork(5, 7)
 	w.announce("i", "e01").message.Incarnation = 7
-	w.run(settleTime)
+	w.run(convergenceTime)
 	old := w.nodes[4].core.Instance("i")
-	w.beats["i"].message.Incarnation = 8
+	w.heartbeats["i"].message.Incarnation = 8
 	w.run(2 * time.Second)
 	out := w.nodes[4].core.Merge(w.clock(w.nodes[4]), nil, []*wire.Instance{old})
 	must.SliceEmpty(t, out.Instances)
@@ -137,44 +137,44 @@
 
 func TestHeartbeatOvertakenByDrainingChangesNothing(t *testing.T) {
 	w := newNetwork(3, 8)
-	hear := func(n int, sequence uint64, draining bool) {
+	announce := func(n int, sequence uint64, draining bool) {
 		m := &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 1, Sequence: sequence, Draining: draining}
 		out, err := w.nodes[n].core.Announce(w.clock(w.nodes[n]), m)
 		must.NoError(t, err)
-		w.carry(w.nodes[n], out)
+		w.apply(w.nodes[n], out)
 	}
 	w.run(2 * time.Second)
-	hear(0, 1, false)
-	hear(0, 3, true)
+	announce(0, 1, false)
+	announce(0, 3, true)
 	w.run(time.Second)
-	hear(1, 2, false)
+	announce(1, 2, false)
 	w.run(time.Second)
 	for _, n := range w.nodes {
 		must.True(t, n.core.Instance("i").GetDraining())
 	}
 }
 
-func TestHostWhoseClockWentBackIsTakenAfterItsRestart(t *testing.T) {
+func TestHostWhoseClockWentBackIsAcceptedAfterItsRestart(t *testing.T) {
 	w := newNetwork(5, 9)
 	w.nodes[2].epoch = 1000
 	w.restart(w.nodes[2], 1000)
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.nodes[2].down = true
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.restart(w.nodes[2], 10)
-	w.run(settleTime)
-	must.NoError(t, w.settled())
+	w.run(convergenceTime)
+	must.NoError(t, w.converged())
 }
 
 func TestLeavingHostIsSeenByAllWithinTwoSeconds(t *testing.T) {
 	w := newNetwork(29, 10)
-	w.run(settleTime)
-	gone := w.nodes[6]
-	w.carry(gone, gone.core.Leave(w.clock(gone)))
-	gone.paused = true
-	took := w.spread(10*time.Second, func(n *node) bool {
+	w.run(convergenceTime)
+	leaver := w.nodes[6]
+	w.apply(leaver, leaver.core.Leave(w.clock(leaver)))
+	leaver.paused = true
+	took := w.timeUntil(10*time.Second, func(n *node) bool {
 		for _, h := range n.core.Hosts() {
-			if n != gone && h.GetName() == gone.name {
+			if n != leaver && h.GetName() == leaver.name {
 				return false
 			}
 		}
@@ -185,7 +185,7 @@
 
 func TestHostReachedThroughOthersIsNotCalledDead(t *testing.T) {
 	w := newNetwork(8, 11)
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.cut[link{"e01", "e02"}], w.cut[link{"e02", "e01"}] = true, true
 	w.cut[link{"e03", "e02"}] = true
 	for range 600 {
@@ -199,7 +199,7 @@
 func TestPausedHostDoesNotCallTheOthersDead(t *testing.T) {
 	w := newNetwork(6, 12)
 	w.announce("i", "e02")
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.nodes[1].paused = true
 	w.run(30 * time.Second)
 	w.nodes[1].paused = false
@@ -208,7 +208,7 @@
 		must.Len(t, 6, w.nodes[1].core.Hosts())
 		must.True(t, w.nodes[1].core.Usable("i"))
 	}
-	must.NoError(t, w.settled())
+	must.NoError(t, w.converged())
 }
 
 func TestBytesStayInsideTheBudgetWhateverTheInstances(t *testing.T) {
@@ -220,7 +220,7 @@
 	start := w.now
 	for range 60 {
 		w.run(time.Second)
-		for _, b := range w.beats {
+		for _, b := range w.heartbeats {
 			b.message.Cold = !b.message.Cold
 		}
 		for _, n := range w.nodes {
@@ -230,31 +230,31 @@
 	}
 }
 
-func TestStateThatNewsMissedIsFoundByDigests(t *testing.T) {
+func TestStateMissedByUpdatesIsFoundByDigests(t *testing.T) {
 	w := newNetwork(6, 14)
 	w.pulls = false
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.partition(1)
 	for n := range 60 {
 		w.announce(fmt.Sprintf("i%d", n), "e03").reaches = func(entry string) bool { return entry == "e03" }
 	}
 	w.run(2 * time.Second)
 	w.heal()
-	must.LessEq(t, 60*time.Second, w.spread(2*time.Minute, func(n *node) bool { return len(n.core.Instances()) == 60 }))
+	must.LessEq(t, 60*time.Second, w.timeUntil(2*time.Minute, func(n *node) bool { return len(n.core.Instances()) == 60 }))
 }
 
 func TestLeavingIsFinalThoughTheOtherHalfTookTheInstanceOver(t *testing.T) {
 	w := newNetwork(4, 15)
 	b := w.announce("i", "e01")
 	b.reaches = func(entry string) bool { return entry == "e01" }
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.partition(2)
 	w.run(20 * time.Second)
 	must.NotEq(t, "e01", w.nodes[3].core.Instance("i").GetHeardBy())
-	delete(w.beats, "i")
+	delete(w.heartbeats, "i")
 	out, err := w.nodes[1].core.Withdraw(w.clock(w.nodes[1]), "i", 1)
 	must.NoError(t, err)
-	w.carry(w.nodes[1], out)
+	w.apply(w.nodes[1], out)
 	w.run(time.Second)
 	w.heal()
 	for range 150 {
@@ -265,7 +265,7 @@
 	must.False(t, w.nodes[3].core.Usable("i"))
 }
 
-func TestHostThatStoodStillKeepsItsLeases(t *testing.T) {
+func TestPausedHostKeepsItsLeases(t *testing.T) {
 	w := newNetwork(1, 16)
 	n := w.nodes[0]
 	_, err := n.core.Announce(w.clock(n), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 1})
@@ -294,20 +294,20 @@
 func TestRecordsThatDifferInAnythingAreFound(t *testing.T) {
 	w := newNetwork(2, 18)
 	w.pulls = false
-	w.run(settleTime)
+	w.run(convergenceTime)
 	for at, n := range w.nodes {
 		m := &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 1, Revision: 1, HeardBy: "e01", Draining: at == 0}
-		w.carry(n, n.core.Merge(w.clock(n), nil, []*wire.Instance{m}))
+		w.apply(n, n.core.Merge(w.clock(n), nil, []*wire.Instance{m}))
 	}
 	w.run(2500 * time.Millisecond)
 	must.True(t, w.nodes[0].core.Instance("i").GetDraining())
 	must.True(t, w.nodes[1].core.Instance("i").GetDraining())
 }
 
-func TestInstanceThatIsHeardIsNeverTakenForSilent(t *testing.T) {
+func TestAnnouncedInstanceIsNeverMarkedSilent(t *testing.T) {
 	w := newNetwork(2, 19)
 	b := w.announce("i", "e00")
-	w.run(settleTime)
+	w.run(convergenceTime)
 	w.partition(1)
 	for _, draining := range []bool{true, false, true, false} {
 		b.message.Draining = draining
--- a/entry/gossip/host.go
+++ b/entry/gossip/host.go
@@ -10,12 +10,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// host is what this core knows of one host.
+// host is the local state of one host.
 type host struct {
 	record       *wire.GossipHost
 	suspectUntil time.Duration
-	lostAt       time.Duration // when it was called dead or left
-	window       window
+	downAt       time.Duration // when it was marked dead or left
+	window       replayWindow
 }
 
 func (h *host) reachable() bool {
@@ -24,13 +24,14 @@
 
 func clone[M proto.Message](m M) M { return proto.Clone(m).(M) }
 
-// MaxHostBytes bounds an encoded record of a host.
+// MaxHostBytes limits the encoded size of a host record.
 const MaxHostBytes = 300
 
-// ErrHostTooLarge means that a host's record does not fit into a datagram.
-var ErrHostTooLarge = errors.New("the host's name is empty or too long, or its addresses are too long")
+// ErrHostTooLarge means that a host record is invalid or does not fit into a
+// datagram.
+var ErrHostTooLarge = errors.New("host name empty or too long, or host addresses too long")
 
-// CheckHost reports whether a host's record can be passed on.
+// CheckHost returns an error if a host record cannot be disseminated.
 func CheckHost(r *wire.GossipHost) error {
 	if r.GetName() == "" || len(r.GetName()) > maxNameBytes || proto.Size(r) > MaxHostBytes {
 		return ErrHostTooLarge
@@ -38,9 +39,9 @@
 	return nil
 }
 
-// newerHost orders records of one host. A later start wins; leaving is final
-// for one start; a refutation raises the revision; with the same revision the
-// worse news wins.
+// newerHost reports whether a supersedes b, two records of one host. A later
+// epoch wins. Within an epoch, a left status is final; then the higher revision
+// wins, which a refutation raises; then the worse status.
 func newerHost(a, b *wire.GossipHost) bool {
 	if a.GetEpoch() != b.GetEpoch() {
 		return a.GetEpoch() > b.GetEpoch()
@@ -55,8 +56,8 @@
 	return a.GetStatus() > b.GetStatus()
 }
 
-// Hosts returns the records of all hosts that count as alive, this one
-// included, in order of names.
+// Hosts returns the records of all hosts that are alive or suspect, including
+// this one, ordered by name.
 func (c *Core) Hosts() []*wire.GossipHost {
 	var all []*wire.GossipHost
 	for _, h := range c.hosts {
@@ -68,7 +69,8 @@
 	return all
 }
 
-// Join introduces hosts that somebody else named, for example a control host.
+// Join pings seed hosts from an external source such as a control host, and pulls
+// the full state from one of them if this host has no peers.
 func (c *Core) Join(now time.Duration, seeds []*wire.GossipHost) Output {
 	c.now = max(c.now, now)
 	for _, seed := range seeds {
@@ -77,12 +79,12 @@
 		}
 		c.sendTo("", seed.GetPeersAddress(), &wire.GossipDatagram{
 			Kind: wire.GossipKind_GOSSIP_PING, Nonce: c.random.Uint64(), Hosts: []*wire.GossipHost{c.self},
-		}, essential)
+		}, priorityHigh)
 		if len(c.hosts) == 1 {
 			c.out.Pull = seed.GetPeersAddress()
 		}
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) alive(name string) bool {
@@ -90,8 +92,8 @@
 	return h != nil && h.reachable()
 }
 
-// mergeHost takes a record if it is newer. It reports whether the given record
-// is older than the known one.
+// mergeHost applies a received record if it supersedes the known one. It reports
+// whether the received record is older than the known one.
 func (c *Core) mergeHost(r *wire.GossipHost) (stale bool) {
 	if CheckHost(r) != nil {
 		return false
@@ -104,7 +106,7 @@
 	if known != nil && !newerHost(r, known.record) {
 		stale = newerHost(known.record, r)
 		if !stale {
-			c.news.heard(hostKey(r.GetName()), c.spreadLimit())
+			c.updates.countDuplicate(hostKey(r.GetName()), c.transmitLimit())
 		}
 		return stale
 	}
@@ -112,7 +114,7 @@
 	return false
 }
 
-// refute raises this host's own record above a worse or unknown one.
+// refute raises the record of this host above a received one that supersedes it.
 func (c *Core) refute(r *wire.GossipHost) {
 	if !newerHost(r, c.self) {
 		return
@@ -130,7 +132,7 @@
 	next := &host{record: r}
 	if known != nil {
 		c.unindexHost(known.record)
-		next.lostAt, next.suspectUntil = known.lostAt, known.suspectUntil
+		next.downAt, next.suspectUntil = known.downAt, known.suspectUntil
 		if known.record.GetEpoch() == r.GetEpoch() {
 			next.window = known.window
 		}
@@ -138,26 +140,26 @@
 	switch {
 	case r.GetStatus() == wire.HostStatus_HOST_SUSPECT:
 		if known == nil || known.record.GetStatus() != wire.HostStatus_HOST_SUSPECT {
-			next.suspectUntil = c.now + c.suspicionTime()
+			next.suspectUntil = c.now + c.suspicionTimeout()
 		}
 	case !next.reachable() && (known == nil || known.reachable()):
-		next.lostAt = c.now
+		next.downAt = c.now
 	}
 	c.hosts[r.GetName()] = next
-	c.live = nil
+	c.livePeers = nil
 	c.indexHost(r)
-	c.news.add(hostKey(r.GetName()), r.GetStatus() != wire.HostStatus_HOST_ALIVE)
+	c.updates.add(hostKey(r.GetName()), r.GetStatus() != wire.HostStatus_HOST_ALIVE)
 	c.out.HostsChanged = true
 }
 
-// doublings returns how often one host must be doubled to have them all.
-func (c *Core) doublings() int { return bits.Len(uint(len(c.hosts))) }
+// log2Hosts returns the number of doublings from one host to all of them.
+func (c *Core) log2Hosts() int { return bits.Len(uint(len(c.hosts))) }
 
-func (c *Core) suspicionTime() time.Duration {
-	return suspicionBase + time.Duration(c.doublings())*suspicionPerStep
+func (c *Core) suspicionTimeout() time.Duration {
+	return suspicionBase + time.Duration(c.log2Hosts())*suspicionPerDoubling
 }
 
-// suspicionTick calls hosts dead that did not refute in time.
+// suspicionTick marks suspect hosts dead that did not refute in time.
 func (c *Core) suspicionTick() {
 	var due []string
 	for name, h := range c.hosts {
@@ -167,22 +169,22 @@
 	}
 	sort.Strings(due)
 	for _, name := range due {
-		c.mark(c.hosts[name], wire.HostStatus_HOST_DEAD)
+		c.setStatus(c.hosts[name], wire.HostStatus_HOST_DEAD)
 	}
 }
 
-func (c *Core) mark(h *host, status wire.HostStatus) {
+func (c *Core) setStatus(h *host, status wire.HostStatus) {
 	next := clone(h.record)
 	next.Status = status
 	c.mergeHost(next)
 }
 
-// forgetTick drops hosts that were lost long ago.
-func (c *Core) forgetTick() {
+// expireTick removes hosts and instances whose tombstones have expired.
+func (c *Core) expireTick() {
 	for name, h := range c.hosts {
-		if !h.reachable() && name != c.self.GetName() && c.now-h.lostAt > tombstoneTime {
+		if !h.reachable() && name != c.self.GetName() && c.now-h.downAt > tombstoneRetention {
 			delete(c.hosts, name)
 		}
 	}
-	c.forgetInstances()
+	c.expireInstances()
 }
--- a/entry/gossip/index.go
+++ b/entry/gossip/index.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Kinds of records, the first byte of a key.
+// Kinds of records; the kind is the first byte of a key.
 const (
 	hostKind     = "h"
 	instanceKind = "i"
@@ -15,34 +15,34 @@
 func hostKey(name string) string   { return hostKind + name }
 func instanceKey(id string) string { return instanceKind + id }
 
-// bucketCount is how many groups the records are compared in.
+// bucketCount is the number of buckets that records are hashed into.
 const bucketCount = 128
 
-// index holds a digest of each group of records, so that two hosts find what
-// differs with little traffic. Records of what is gone are not in it: each
-// host forgets them at a time of its own.
+// index holds a digest of each bucket of records, so that two hosts can find
+// differing records with little traffic. Tombstones are excluded, because each
+// host expires them at a different time.
 type index struct {
 	digests [bucketCount]uint32
 	keys    [bucketCount]map[uint64]string
 }
 
-func (x *index) flip(key string, digest uint32) uint64 {
+func (x *index) toggle(key string, digest uint32) uint64 {
 	hash := xxhash.Sum64String(key)
 	x.digests[hash%bucketCount] ^= digest
 	return hash
 }
 
 func (x *index) add(key string, digest uint32) {
-	hash := x.flip(key, digest)
-	group := &x.keys[hash%bucketCount]
-	if *group == nil {
-		*group = map[uint64]string{}
+	hash := x.toggle(key, digest)
+	bucket := &x.keys[hash%bucketCount]
+	if *bucket == nil {
+		*bucket = map[uint64]string{}
 	}
-	(*group)[hash] = key
+	(*bucket)[hash] = key
 }
 
 func (x *index) remove(key string, digest uint32) {
-	hash := x.flip(key, digest)
+	hash := x.toggle(key, digest)
 	delete(x.keys[hash%bucketCount], hash)
 }
 
@@ -82,12 +82,13 @@
 func digest(m proto.Message) uint32 {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return 0 // text that is not UTF-8, refused where records come in
+		return 0 // invalid UTF-8, which is rejected where records are received
 	}
 	return uint32(xxhash.Sum64(data))
 }
 
-// recordBytes is the encoded size of a record within a datagram.
+// recordBytes returns the encoded size of a record within a datagram, 0 if there
+// is none.
 func (c *Core) recordBytes(key string) int {
 	const tagBytes = 4
 	var m proto.Message
@@ -97,7 +98,7 @@
 			m = h.record
 		}
 	} else if r := c.instances[name]; r != nil {
-		m = r.message
+		m = r.record
 	}
 	if m == nil {
 		return 0
@@ -105,7 +106,8 @@
 	return proto.Size(m) + tagBytes
 }
 
-// appendRecord adds a record to a datagram. It reports whether there is one.
+// appendRecord appends a record to a datagram. It reports whether the record
+// exists.
 func (c *Core) appendRecord(d *wire.GossipDatagram, key string) bool {
 	name := key[1:]
 	if key[:1] == hostKind {
@@ -117,7 +119,7 @@
 	}
 	r := c.instances[name]
 	if r != nil {
-		d.Instances = append(d.Instances, r.message)
+		d.Instances = append(d.Instances, r.record)
 	}
 	return r != nil
 }
--- a/entry/gossip/lease.go
+++ b/entry/gossip/lease.go
@@ -8,19 +8,19 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Times of instances whose owner is lost.
+// Timing of orphans: instances whose owner is dead or has left.
 const (
 	checkInterval = time.Second
-	// orphanGrace is the time that an instance has to move to another host
-	// after its owner was called dead or left.
+	// orphanGrace is how long an instance may take to move to another host after
+	// its owner was marked dead or left.
 	orphanGrace = LeaseTime
-	// adoptLimit ends an adoption that no heartbeat confirms.
+	// adoptLimit is the maximum duration of an adoption without a heartbeat.
 	adoptLimit = 2 * time.Hour
 	minChecks  = 3
 )
 
-// leaseTick looks after the instances that this host owns, itself or in the
-// place of a lost owner.
+// leaseTick handles the expired leases of instances that this host owns and of
+// orphans.
 func (c *Core) leaseTick() {
 	var due []string
 	for id, r := range c.instances {
@@ -30,18 +30,18 @@
 	}
 	sort.Strings(due)
 	for _, id := range due {
-		c.attend(c.instances[id])
+		c.maintain(c.instances[id])
 	}
 }
 
-func (c *Core) responsible(r *record) bool {
-	owner := r.message.GetHeardBy()
+func (c *Core) responsible(r *instance) bool {
+	owner := r.record.GetHeardBy()
 	return owner == c.self.GetName() || !c.alive(owner)
 }
 
-func (c *Core) attend(r *record) {
-	if r.message.GetHeardBy() != c.self.GetName() {
-		c.attendOrphan(r)
+func (c *Core) maintain(r *instance) {
+	if r.record.GetHeardBy() != c.self.GetName() {
+		c.maintainOrphan(r)
 		return
 	}
 	if c.now < r.adoptedUntil && c.now < r.connectedAt+LeaseTime {
@@ -51,45 +51,45 @@
 	c.endLease(r)
 }
 
-func (c *Core) endLease(r *record) {
-	next := clone(r.message)
+func (c *Core) endLease(r *instance) {
+	next := clone(r.record)
 	next.Gone = true
 	next.Revision++
 	c.putInstance(next)
 }
 
-// attendOrphan lets one of the reachable hosts check an instance whose owner
-// is lost. An instance that can be connected to is adopted: a partitioned half
-// keeps serving what it can reach. One that cannot is called silent.
-func (c *Core) attendOrphan(r *record) {
-	lostFor := c.now - c.ownerLostAt(r)
-	if lostFor < orphanGrace {
+// maintainOrphan makes one of the reachable hosts check an orphan. If a
+// connection succeeds, the host adopts the instance, so that either side of a
+// partition keeps the instances it can reach. Otherwise the lease ends.
+func (c *Core) maintainOrphan(r *instance) {
+	downFor := c.now - c.ownerDownAt(r)
+	if downFor < orphanGrace {
 		return
 	}
 	r.checkAt = c.now + checkInterval
 	switch {
-	case lostFor > orphanLimit:
+	case downFor > orphanLimit:
 		c.endLease(r)
-	case !c.chosenFor(r.message.GetId()):
-	case lostFor > orphanGrace+LeaseTime && r.checks >= minChecks:
+	case !c.winsRendezvous(r.record.GetId()):
+	case downFor > orphanGrace+LeaseTime && r.checks >= minChecks:
 		c.endLease(r)
 	default:
 		c.check(r)
 	}
 }
 
-// ownerLostAt is when this host lost the owner; an owner that was never known
-// counts as lost when the record came.
-func (c *Core) ownerLostAt(r *record) time.Duration {
-	if h := c.hosts[r.message.GetHeardBy()]; h != nil {
-		return h.lostAt
+// ownerDownAt returns when the owner was marked dead or left, or when the record
+// was received if the owner is unknown.
+func (c *Core) ownerDownAt(r *instance) time.Duration {
+	if h := c.hosts[r.record.GetHeardBy()]; h != nil {
+		return h.downAt
 	}
-	return r.since
+	return r.receivedAt
 }
 
-// chosenFor reports whether this host has the largest weight for an id among
-// the hosts that it can reach.
-func (c *Core) chosenFor(id string) bool {
+// winsRendezvous reports whether this host is selected for an instance by
+// rendezvous hashing among the reachable hosts.
+func (c *Core) winsRendezvous(id string) bool {
 	mine := weight(id, c.self.GetName())
 	for name, h := range c.hosts {
 		if h.reachable() && weight(id, name) > mine {
@@ -101,32 +101,32 @@
 
 func weight(id, host string) uint64 { return xxhash.Sum64String(id + "\x00" + host) }
 
-func (c *Core) check(r *record) {
+func (c *Core) check(r *instance) {
 	r.checkAt = c.now + checkInterval
 	r.checks++
-	c.out.Checks = append(c.out.Checks, r.message)
+	c.out.Checks = append(c.out.Checks, r.record)
 }
 
-// ReportCheck takes the result of a check: whether the instance could be connected
-// to. Success makes this host the owner.
+// ReportCheck handles the result of a check from Output.Checks. If the connection
+// succeeded, this host becomes the owner of the instance.
 func (c *Core) ReportCheck(now time.Duration, checked *wire.Instance, connected bool) Output {
 	c.now = max(c.now, now)
 	r := c.instances[checked.GetId()]
-	if r == nil || !r.live() || !connected || r.message.GetIncarnation() != checked.GetIncarnation() {
-		return c.take()
+	if r == nil || !r.live() || !connected || r.record.GetIncarnation() != checked.GetIncarnation() {
+		return c.takeOutput()
 	}
 	if !c.responsible(r) {
-		return c.take()
+		return c.takeOutput()
 	}
-	if r.message.GetHeardBy() != c.self.GetName() {
+	if r.record.GetHeardBy() != c.self.GetName() {
 		r = c.adopt(r)
 	}
 	r.connectedAt = c.now
-	return c.take()
+	return c.takeOutput()
 }
 
-func (c *Core) adopt(r *record) *record {
-	next := clone(r.message)
+func (c *Core) adopt(r *instance) *instance {
+	next := clone(r.record)
 	next.HeardBy = c.self.GetName()
 	next.Revision++
 	c.putInstance(next)
@@ -135,23 +135,23 @@
 	return adopted
 }
 
-// forgetInstances drops records of instances that ended long ago.
-func (c *Core) forgetInstances() {
+// expireInstances removes the tombstones of instances that have expired.
+func (c *Core) expireInstances() {
 	for id, r := range c.instances {
-		if !r.live() && c.now-r.goneAt > tombstoneTime {
+		if !r.live() && c.now-r.goneAt > tombstoneRetention {
 			delete(c.instances, id)
 		}
 	}
 }
 
-// forgetForeign drops all records that this host does not own; the others send
-// what is still true.
-func (c *Core) forgetForeign() {
+// dropRemote drops all instance records that other hosts own. Those that are
+// still valid are received again.
+func (c *Core) dropRemote() {
 	for id, r := range c.instances {
-		if r.message.GetHeardBy() == c.self.GetName() {
+		if r.record.GetHeardBy() == c.self.GetName() {
 			continue
 		}
-		c.unindexInstance(r.message)
+		c.unindexInstance(r.record)
 		delete(c.instances, id)
 		c.out.Instances = append(c.out.Instances, id)
 	}
--- a/entry/gossip/network_test.go
+++ b/entry/gossip/network_test.go
@@ -18,10 +18,10 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-// link is a direction between two hosts.
+// link is one direction of traffic between two hosts.
 type link struct{ from, to string }
 
-// node is one host of the network with a clock of its own.
+// node is one simulated host with its own clock.
 type node struct {
 	name   string
 	core   *gossip.Core
@@ -40,23 +40,23 @@
 	data *wire.GossipDatagram
 }
 
-// network carries datagrams between cores in virtual time.
+// network simulates the delivery of datagrams between cores in virtual time.
 type network struct {
-	random    *rand.Rand
-	now       time.Duration
-	nodes     []*node
-	byName    map[string]*node
-	packets   []packet
-	count     int
-	cut       map[link]bool
-	loss, dup float64
-	connects  map[string]bool // instances that take connections
-	beats     map[string]*beat
-	pulls     bool
+	random     *rand.Rand
+	now        time.Duration
+	nodes      []*node
+	byName     map[string]*node
+	packets    []packet
+	count      int
+	cut        map[link]bool
+	loss, dup  float64
+	connects   map[string]bool // instances that accept connections
+	heartbeats map[string]*heartbeat
+	pulls      bool
 }
 
-// beat is one instance that announces itself every half second.
-type beat struct {
+// heartbeat is one instance that announces itself every 500 ms.
+type heartbeat struct {
 	message *wire.Instance
 	entry   string
 	reaches func(entry string) bool
@@ -65,7 +65,7 @@
 func newNetwork(hosts int, seed uint64, opts ...gossip.Option) *network {
 	w := &network{
 		random: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*node{}, cut: map[link]bool{},
-		connects: map[string]bool{}, beats: map[string]*beat{}, pulls: true,
+		connects: map[string]bool{}, heartbeats: map[string]*heartbeat{}, pulls: true,
 	}
 	for n := range hosts {
 		one := &node{name: fmt.Sprintf("e%02d", n), offset: time.Duration(w.random.IntN(1e6)) * time.Millisecond, epoch: 1}
@@ -83,16 +83,17 @@
 	w.seed(n)
 }
 
-// seed names the first two hosts to one that starts.
+// seed joins a host to the first two hosts.
 func (w *network) seed(n *node) {
 	var seeds []*wire.GossipHost
 	for _, other := range w.nodes[:min(2, len(w.nodes))] {
 		seeds = append(seeds, &wire.GossipHost{Name: other.name, PeersAddress: other.name})
 	}
-	w.carry(n, n.core.Join(w.clock(n), seeds))
+	w.apply(n, n.core.Join(w.clock(n), seeds))
 }
 
-// reseed names hosts again, as the control hosts do with each answer.
+// reseed repeats the join of every running host, as the control hosts do with each
+// response.
 func (w *network) reseed() {
 	for _, n := range w.nodes {
 		if !n.down && !n.paused {
@@ -101,7 +102,7 @@
 	}
 }
 
-// restart loses a host's state; epoch is what its clock says.
+// restart starts a host without its previous state, with an epoch from its clock.
 func (w *network) restart(n *node, epoch uint64) {
 	n.epoch, n.down, n.paused = epoch, false, false
 	w.boot(n)
@@ -109,7 +110,7 @@
 
 func (w *network) clock(n *node) time.Duration { return w.now + n.offset }
 
-func (w *network) carry(n *node, out gossip.Output) {
+func (w *network) apply(n *node, out gossip.Output) {
 	for _, send := range out.Sends {
 		size := proto.Size(send.Datagram) + 45
 		n.sent += size
@@ -133,7 +134,7 @@
 		w.pull(n, w.byName[out.Pull])
 	}
 	for _, one := range out.Checks {
-		w.carry(n, n.core.ReportCheck(w.clock(n), one, w.connects[one.GetId()]))
+		w.apply(n, n.core.ReportCheck(w.clock(n), one, w.connects[one.GetId()]))
 	}
 }
 
@@ -141,7 +142,7 @@
 	after := ""
 	for {
 		hosts, instances, next := from.core.RecordsAfter(after)
-		w.carry(n, n.core.Merge(w.clock(n), hosts, instances))
+		w.apply(n, n.core.Merge(w.clock(n), hosts, instances))
 		if after = next; after == "" {
 			return
 		}
@@ -153,7 +154,7 @@
 	return b != nil && !a.down && !b.down && !b.paused && !w.cut[link{from, to}]
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d.
 func (w *network) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += 10 * time.Millisecond
@@ -161,11 +162,11 @@
 		for n, one := range w.nodes {
 			phase := time.Duration(n%10) * 10 * time.Millisecond
 			if !one.down && !one.paused && (w.now+phase)%gossip.TickInterval == 0 {
-				w.carry(one, one.core.Tick(w.clock(one)))
+				w.apply(one, one.core.Tick(w.clock(one)))
 			}
 		}
 		if w.now%(500*time.Millisecond) == 0 {
-			w.beat()
+			w.announceAll()
 		}
 		if w.now%(5*time.Second) == 0 {
 			w.reseed()
@@ -184,15 +185,16 @@
 		p := w.packets[0]
 		w.packets = w.packets[1:]
 		if to := w.byName[p.to]; to != nil && w.open(p.from, p.to) {
-			w.carry(to, to.core.Receive(w.clock(to), p.data))
+			w.apply(to, to.core.Receive(w.clock(to), p.data))
 		}
 	}
 }
 
-// beat renews every instance's lease at its entry host, or moves it on.
-func (w *network) beat() {
+// announceAll renews the lease of each instance at its entry host. An instance
+// whose entry host is unreachable moves to a random one.
+func (w *network) announceAll() {
 	for _, id := range w.ids() {
-		b := w.beats[id]
+		b := w.heartbeats[id]
 		entry := w.byName[b.entry]
 		if entry.down || entry.paused || (b.reaches != nil && !b.reaches(b.entry)) {
 			b.entry = w.nodes[w.random.IntN(len(w.nodes))].name
@@ -200,20 +202,20 @@
 		}
 		b.message.Sequence++
 		out, _ := entry.core.Announce(w.clock(entry), proto.Clone(b.message).(*wire.Instance))
-		w.carry(entry, out)
+		w.apply(entry, out)
 	}
 }
 
-func (w *network) ids() []string { return slices.Sorted(maps.Keys(w.beats)) }
+func (w *network) ids() []string { return slices.Sorted(maps.Keys(w.heartbeats)) }
 
-func (w *network) announce(id, entry string) *beat {
-	b := &beat{entry: entry, message: &wire.Instance{Id: id, Service: "catalogue", Address: "127.0.0.1:9000", Zone: "z", Slots: 3, Incarnation: 1}}
-	w.beats[id] = b
+func (w *network) announce(id, entry string) *heartbeat {
+	b := &heartbeat{entry: entry, message: &wire.Instance{Id: id, Service: "catalogue", Address: "127.0.0.1:9000", Zone: "z", Slots: 3, Incarnation: 1}}
+	w.heartbeats[id] = b
 	w.connects[id] = true
 	return b
 }
 
-// partition cuts the hosts before position n from the others.
+// partition separates the first n hosts from the others.
 func (w *network) partition(n int) {
 	for i, a := range w.nodes {
 		for j, b := range w.nodes {
@@ -226,8 +228,9 @@
 
 func (w *network) heal() { w.cut = map[link]bool{} }
 
-// settled reports how a view of the network that should be whole is not.
-func (w *network) settled() error {
+// converged returns an error if the view of some running host is incomplete or
+// wrong.
+func (w *network) converged() error {
 	for _, one := range w.nodes {
 		if one.down {
 			continue
@@ -237,7 +240,7 @@
 		}
 		for _, id := range w.ids() {
 			if !one.core.Usable(id) {
-				return fmt.Errorf("%s does not know %s: %v", one.name, id, one.core.Instance(id))
+				return fmt.Errorf("%s has no live record of %s: %v", one.name, id, one.core.Instance(id))
 			}
 		}
 	}
@@ -253,19 +256,20 @@
 	}
 	for _, other := range w.nodes {
 		if other.down == known[other.name] {
-			return fmt.Errorf("%s: %s down=%v, counted alive=%v, of %v; itself %v", one.name, other.name, other.down, known[other.name], records(one), records(other))
+			return fmt.Errorf("%s: %s down=%v, alive here=%v; records here %v; its own records %v", one.name, other.name, other.down, known[other.name], records(one), records(other))
 		}
 	}
 	return nil
 }
 
-// spread returns how long it takes until what holds everywhere.
-func (w *network) spread(limit time.Duration, what func(*node) bool) time.Duration {
+// timeUntil returns how long it takes until the condition is true on all running
+// hosts, at most limit.
+func (w *network) timeUntil(limit time.Duration, condition func(*node) bool) time.Duration {
 	start := w.now
 	for w.now-start < limit {
 		all := true
 		for _, one := range w.nodes {
-			all = all && (one.down || what(one))
+			all = all && (one.down || condition(one))
 		}
 		if all {
 			break
--- a/entry/gossip/page.go
+++ b/entry/gossip/page.go
@@ -6,16 +6,17 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// pageRecords is how many records a host that fetches the state gets at once.
-const pageRecords = 500
+// pageSize is the number of records in one response of a full state transfer.
+const pageSize = 500
 
-// RecordsAfter returns records after a key, in order of keys, and the last key if
-// there may be more. It is for a host that fetches the whole state.
+// RecordsAfter returns one page of the records whose keys are greater than after,
+// ordered by key. If there are more, next is the last key of the page. It serves
+// hosts that fetch the full state.
 func (c *Core) RecordsAfter(after string) (hosts []*wire.GossipHost, instances []*wire.Instance, next string) {
 	keys := c.keysAfter(after)
-	if len(keys) > pageRecords {
-		keys = keys[:pageRecords]
-		next = keys[pageRecords-1]
+	if len(keys) > pageSize {
+		keys = keys[:pageSize]
+		next = keys[pageSize-1]
 	}
 	d := &wire.GossipDatagram{}
 	for _, key := range keys {
--- a/entry/gossip/probe.go
+++ b/entry/gossip/probe.go
@@ -8,21 +8,22 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// probe is one host's turn to show that it lives.
+// probe is an outstanding liveness probe of one host.
 type probe struct {
 	target   string
 	sentAt   time.Duration
 	indirect bool
 }
 
-// relay is a probe that this host makes for another one.
+// relay is an indirect probe made on behalf of another host.
 type relay struct {
 	origin string
 	nonce  uint64
 	until  time.Duration
 }
 
-// probeTick ends probes that went unanswered and starts the next one.
+// probeTick advances outstanding probes, expires relays and starts the next
+// probe.
 func (c *Core) probeTick() {
 	for _, nonce := range sortedNonces(c.probes) {
 		c.advanceProbe(nonce, c.probes[nonce])
@@ -58,87 +59,88 @@
 	case age >= probeInterval:
 		delete(c.probes, nonce)
 		if h := c.hosts[p.target]; h != nil && h.record.GetStatus() == wire.HostStatus_HOST_ALIVE {
-			c.mark(h, wire.HostStatus_HOST_SUSPECT)
+			c.setStatus(h, wire.HostStatus_HOST_SUSPECT)
 		}
 	case age >= directTimeout && !p.indirect:
 		p.indirect = true
-		for _, name := range c.pick(indirectProbes, p.target) {
-			c.send(name, &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_PING_REQUEST, Nonce: nonce, Target: p.target}, essential)
+		for _, name := range c.randomPeers(indirectProbes, p.target) {
+			c.send(name, &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_PING_REQUEST, Nonce: nonce, Target: p.target}, priorityHigh)
 		}
 	}
 }
 
-// ping introduces this host, since the other one may not know it yet, and tells
-// a suspect host of the suspicion, so that it can refute.
+// ping sends a ping with the record of this host, which the target may not have
+// yet. A target that is not alive also gets its own record, so that it can refute
+// it.
 func (c *Core) ping(name string, nonce uint64) {
 	d := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_PING, Nonce: nonce, Hosts: []*wire.GossipHost{c.self}}
 	if h := c.hosts[name]; h.record.GetStatus() != wire.HostStatus_HOST_ALIVE {
 		d.Hosts = append(d.Hosts, h.record)
 	}
 	c.piggyback(d)
-	c.send(name, d, essential)
+	c.send(name, d, priorityHigh)
 }
 
-// nextTarget goes through all hosts in a shuffled order before any is probed
-// again.
+// nextTarget returns the next probe target. All hosts are probed once in shuffled
+// order before any is probed again.
 func (c *Core) nextTarget() string {
 	for range 2 {
-		for len(c.ring) > 0 {
-			name := c.ring[len(c.ring)-1]
-			c.ring = c.ring[:len(c.ring)-1]
+		for len(c.probeOrder) > 0 {
+			name := c.probeOrder[len(c.probeOrder)-1]
+			c.probeOrder = c.probeOrder[:len(c.probeOrder)-1]
 			if c.alive(name) {
 				return name
 			}
 		}
-		c.ring = slices.Clone(c.others())
-		c.random.Shuffle(len(c.ring), func(i, j int) { c.ring[i], c.ring[j] = c.ring[j], c.ring[i] })
+		c.probeOrder = slices.Clone(c.peers())
+		c.random.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 	}
 	return ""
 }
 
-// others returns the other live hosts in order of names.
-func (c *Core) others() []string {
-	if c.live != nil {
-		return c.live
+// peers returns the names of the other hosts that are alive or suspect, sorted.
+func (c *Core) peers() []string {
+	if c.livePeers != nil {
+		return c.livePeers
 	}
-	c.live = make([]string, 0, len(c.hosts))
+	c.livePeers = make([]string, 0, len(c.hosts))
 	for name, h := range c.hosts {
 		if h.reachable() && name != c.self.GetName() {
-			c.live = append(c.live, name)
+			c.livePeers = append(c.livePeers, name)
 		}
 	}
-	sort.Strings(c.live)
-	return c.live
+	sort.Strings(c.livePeers)
+	return c.livePeers
 }
 
-// pick returns up to n other live hosts at random.
-func (c *Core) pick(n int, except string) []string {
-	all := c.others()
+// randomPeers returns up to n random peers other than except.
+func (c *Core) randomPeers(n int, except string) []string {
+	all := c.peers()
 	var picked []string
-	for _, at := range c.random.Perm(len(all)) {
+	for _, i := range c.random.Perm(len(all)) {
 		if len(picked) == n {
 			break
 		}
-		if all[at] != except {
-			picked = append(picked, all[at])
+		if all[i] != except {
+			picked = append(picked, all[i])
 		}
 	}
 	return picked
 }
 
-func (c *Core) pinged(d *wire.GossipDatagram) {
-	answer := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_ACK, Nonce: d.GetNonce()}
+func (c *Core) handlePing(d *wire.GossipDatagram) {
+	reply := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_ACK, Nonce: d.GetNonce()}
 	if h := c.hosts[d.GetFrom()]; h.record.GetStatus() != wire.HostStatus_HOST_ALIVE {
-		answer.Hosts = append(answer.Hosts, h.record)
+		reply.Hosts = append(reply.Hosts, h.record)
 	}
 	if d.GetTo() == "" {
-		answer.Hosts = append(answer.Hosts, c.self)
+		reply.Hosts = append(reply.Hosts, c.self)
 	}
-	c.piggyback(answer)
-	c.send(d.GetFrom(), answer, essential)
+	c.piggyback(reply)
+	c.send(d.GetFrom(), reply, priorityHigh)
 }
 
-func (c *Core) pingRequested(d *wire.GossipDatagram) {
+func (c *Core) handlePingRequest(d *wire.GossipDatagram) {
 	if !c.alive(d.GetTarget()) || len(c.relays) >= maxRelays {
 		return
 	}
@@ -147,10 +149,10 @@
 	c.ping(d.GetTarget(), nonce)
 }
 
-func (c *Core) acked(d *wire.GossipDatagram) {
+func (c *Core) handleAck(d *wire.GossipDatagram) {
 	if r, ok := c.relays[d.GetNonce()]; ok {
 		delete(c.relays, d.GetNonce())
-		c.send(r.origin, &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_ACK, Nonce: r.nonce}, essential)
+		c.send(r.origin, &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_ACK, Nonce: r.nonce}, priorityHigh)
 		return
 	}
 	delete(c.probes, d.GetNonce())
--- a/entry/gossip/receive.go
+++ b/entry/gossip/receive.go
@@ -6,35 +6,36 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxRecordBytes bounds one record that another host passed on.
+// maxRecordBytes limits the size of a record received from another host.
 const maxRecordBytes = MaxInstanceBytes + maxNameBytes + 40
 
-// Receive takes a datagram whose sender was authenticated. A datagram that was
-// seen before, or of an earlier start of the sender, changes nothing.
+// Receive handles an authenticated datagram. Duplicates and datagrams from an
+// earlier epoch of the sender change nothing.
 func (c *Core) Receive(now time.Duration, d *wire.GossipDatagram) Output {
 	c.now = max(c.now, now)
 	if d.GetFrom() == "" || d.GetFrom() == c.self.GetName() || (d.GetTo() != "" && d.GetTo() != c.self.GetName()) {
-		return c.take()
+		return c.takeOutput()
 	}
-	c.introduce(d)
+	c.mergeSender(d)
 	sender := c.hosts[d.GetFrom()]
 	if sender == nil {
-		return c.take()
+		return c.takeOutput()
 	}
 	if d.GetEpoch() != sender.record.GetEpoch() {
-		c.correct(d, sender)
-		return c.take()
+		c.correctEpoch(d, sender)
+		return c.takeOutput()
 	}
 	if !sender.window.accept(d.GetSequence()) {
-		return c.take()
+		return c.takeOutput()
 	}
-	stale := c.takeRecords(d)
+	stale := c.mergeRecords(d)
 	c.dispatch(d, stale)
-	return c.take()
+	return c.takeOutput()
 }
 
-// introduce takes a sender's word of itself before anything else.
-func (c *Core) introduce(d *wire.GossipDatagram) {
+// mergeSender merges the sender's own record, so that the sender is known before
+// the rest of the datagram is handled.
+func (c *Core) mergeSender(d *wire.GossipDatagram) {
 	for _, r := range d.GetHosts() {
 		if r.GetName() == d.GetFrom() && r.GetEpoch() == d.GetEpoch() {
 			c.mergeHost(r)
@@ -42,18 +43,18 @@
 	}
 }
 
-// correct tells a sender that started again what is known of its last start,
-// so that it takes a later epoch. A host whose clock went back needs this.
-func (c *Core) correct(d *wire.GossipDatagram, sender *host) {
+// correctEpoch sends a restarted sender its known record, so that it adopts a
+// later epoch. This is needed when the clock of the host was set back.
+func (c *Core) correctEpoch(d *wire.GossipDatagram, sender *host) {
 	if d.GetEpoch() > sender.record.GetEpoch() {
-		return // its record is on the way
+		return // the new record has not arrived yet
 	}
 	c.send(d.GetFrom(), &wire.GossipDatagram{
 		Kind: wire.GossipKind_GOSSIP_RECORDS, Hosts: []*wire.GossipHost{sender.record, c.self},
-	}, exchange)
+	}, priorityNormal)
 }
 
-func (c *Core) takeRecords(d *wire.GossipDatagram) (stale []string) {
+func (c *Core) mergeRecords(d *wire.GossipDatagram) (stale []string) {
 	if len(d.GetHosts())+len(d.GetInstances()) > maxRecords {
 		return nil
 	}
@@ -73,26 +74,26 @@
 func (c *Core) dispatch(d *wire.GossipDatagram, stale []string) {
 	switch d.GetKind() {
 	case wire.GossipKind_GOSSIP_PING:
-		c.pinged(d)
+		c.handlePing(d)
 	case wire.GossipKind_GOSSIP_ACK:
-		c.acked(d)
+		c.handleAck(d)
 	case wire.GossipKind_GOSSIP_PING_REQUEST:
-		c.pingRequested(d)
+		c.handlePingRequest(d)
 	case wire.GossipKind_GOSSIP_DIGEST:
-		c.compared(d)
+		c.handleDigests(d)
 	case wire.GossipKind_GOSSIP_SUMMARY:
-		c.summarized(d)
+		c.handleSummary(d)
 	case wire.GossipKind_GOSSIP_RECORDS:
-		c.exchanged(d, stale)
+		c.handleRecords(d, stale)
 	case wire.GossipKind_GOSSIP_NEWS:
 	}
 }
 
-// Merge takes records that were fetched whole from another host. They are not
-// passed on, but for answers to what was said of this host.
+// Merge applies records that were pulled from another host. They are not
+// disseminated, except for refutations of records about this host or owned by it.
 func (c *Core) Merge(now time.Duration, hosts []*wire.GossipHost, instances []*wire.Instance) Output {
 	c.now = max(c.now, now)
-	c.news.quiet = true
+	c.updates.paused = true
 	for _, r := range hosts {
 		if r.GetName() != c.self.GetName() {
 			c.mergeHost(r)
@@ -103,12 +104,12 @@
 			c.mergeInstance(m)
 		}
 	}
-	c.news.quiet = false
-	c.mergeOwn(hosts, instances)
-	return c.take()
+	c.updates.paused = false
+	c.mergeSelf(hosts, instances)
+	return c.takeOutput()
 }
 
-func (c *Core) mergeOwn(hosts []*wire.GossipHost, instances []*wire.Instance) {
+func (c *Core) mergeSelf(hosts []*wire.GossipHost, instances []*wire.Instance) {
 	for _, r := range hosts {
 		if r.GetName() == c.self.GetName() {
 			c.mergeHost(r)
--- a/entry/gossip/window.go
+++ b/entry/gossip/window.go
@@ -1,17 +1,18 @@
 package gossip
 
-// windowBits is how far datagrams of one sender may overtake each other.
+// windowBits is the maximum reordering of datagrams of one sender.
 const windowBits = 64
 
-// window remembers which datagrams of one start of a sender came, so that a
-// replayed one is refused.
-type window struct {
+// replayWindow records which sequence numbers were received in one epoch of a
+// sender, to reject replayed datagrams.
+type replayWindow struct {
 	highest uint64
-	seen    uint64 // bit n: highest-n came
+	seen    uint64 // bit n is set if highest-n was received
 }
 
-// accept reports whether the sequence number is new and not too old.
-func (w *window) accept(sequence uint64) bool {
+// accept records a sequence number. It reports false for a duplicate and for one
+// older than the window.
+func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence > w.highest {
 		shift := sequence - w.highest
 		w.seen = w.seen<<min(shift, windowBits) | 1
--- a/entry/upstream/exchange.go
+++ b/entry/upstream/exchange.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	errCloseDelimited = errors.New("response body has no length; its end and a truncation look the same")
+	errCloseDelimited = errors.New("response body has no length, so that a truncation cannot be detected")
 	errMismatched     = errors.New("response belongs to another request")
 	errInterim        = errors.New("unexpected or too many interim responses")
 )
--- a/entry/upstream/failure.go
+++ b/entry/upstream/failure.go
@@ -49,7 +49,7 @@
 func (e bodyError) Unwrap() error { return e.error }
 
 // errProgress means that a link transferred no bytes within its limit.
-var errProgress = errors.New("no progress on link")
+var errProgress = errors.New("no progress on the link")
 
 // causeOf maps an error of an exchange to its cause.
 func causeOf(err error) Cause {
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -164,7 +164,7 @@
 		case <-wait:
 		case <-ctx.Done():
 			links.cancelWait(wait)
-			return nil, links, &Failure{cause: Full, err: errors.New("link limit of the instance reached"), address: address}
+			return nil, links, &Failure{cause: Full, err: errors.New("all links to the instance are in use"), address: address}
 		}
 	}
 	conn, err := p.dial(ctx, address)
