--- a/entry/caller/answer.go
+++ b/entry/caller/answer.go
@@ -39,7 +39,7 @@
 // answer passes the instance's answer on, or says what it means if it is none.
 func (d *dispatch) answer(exchange *upstream.Exchange) result {
 	response, id := exchange.Response(), d.target.ID()
-	d.c.stay.Answering(time.Now())
+	d.c.stay.ResponseStarted(time.Now())
 	d.c.clock.answered()
 	d.report.Failed = response.StatusCode >= http.StatusInternalServerError
 	if report, told := d.c.dialect.Load(response.Header); told {
@@ -118,7 +118,7 @@
 		n, err := body.Read(buffer[:])
 		if n > 0 {
 			seen.keep(buffer[:n])
-			c.stay.Carried(n, c.rule.Contract().Bulk())
+			c.stay.AddBodyBytes(n, c.rule.Contract().Bulk())
 			c.deliver(buffer[:n], err == nil)
 		}
 		if errors.Is(err, io.EOF) {
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -129,7 +129,7 @@
 	c       *call
 	ticket  *route.Ticket
 	target  *instance.Instance
-	flight  *poison.Flight
+	flight  *poison.Attempt
 	report  route.Report
 	seen    *recorder
 	ctx     context.Context // ends the exchange, nil: the call's own
@@ -139,7 +139,7 @@
 }
 
 func (d *dispatch) finish() {
-	d.flight.Leave()
+	d.flight.End()
 	d.ticket.Finish(d.report)
 }
 
@@ -152,8 +152,8 @@
 // begin counts the attempt as under way.
 func (d *dispatch) begin() {
 	c := d.c
-	d.flight = d.h.parts.Suspects.Enter(c.clock, c.fingerprint, string(d.target.ID()))
-	c.stay.Start(d.target.ID(), time.Now())
+	d.flight = d.h.parts.Suspects.Begin(c.clock, c.fingerprint, string(d.target.ID()))
+	c.stay.Dispatched(d.target.ID(), time.Now())
 	if c.body.whole {
 		c.stay.Sent(time.Now())
 	}
@@ -261,7 +261,7 @@
 		d.report.Failed = true
 		d.report.Lost = !links.Reachable(ctx, address)
 		if d.report.Lost {
-			d.flight.Lost(ctx)
+			d.flight.InstanceLost(ctx)
 		}
 	case upstream.Malformed:
 		d.report.Failed = true
--- a/entry/caller/body.go
+++ b/entry/caller/body.go
@@ -125,7 +125,7 @@
 	tooLarge := b.read > b.most
 	b.mu.Unlock()
 	if b.call.stay != nil {
-		b.call.stay.Carried(n, b.call.rule.Contract().Bulk())
+		b.call.stay.AddBodyBytes(n, b.call.rule.Contract().Bulk())
 	}
 	if tooLarge {
 		return 0, errBodyTooLarge
--- a/entry/caller/call.go
+++ b/entry/caller/call.go
@@ -32,7 +32,7 @@
 	caller      string
 	version     uint64
 	rule        *rule.Rule
-	stay        *backlog.Stay
+	stay        *backlog.Request
 	w           http.ResponseWriter
 	control     *http.ResponseController
 	r           *http.Request
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -57,9 +57,9 @@
 	Links     *upstream.Pool
 	Claims    control.Claimer
 	Settler   *control.Settler
-	Suspects  *poison.Book
+	Suspects  *poison.Tracker
 	Budget    RetryBudget // nil: no bound
-	Book      *backlog.Book
+	Book      *backlog.Tracker
 	Decisions *decision.Log
 	Stopping  *atomic.Bool
 	Logger    hclog.Logger
@@ -102,7 +102,7 @@
 		parts.Logger = hclog.NewNullLogger()
 	}
 	if parts.Suspects == nil {
-		parts.Suspects = poison.NewBook()
+		parts.Suspects = poison.NewTracker()
 	}
 	if parts.Settler == nil {
 		parts.Settler = control.NewSettler(parts.Claims)
@@ -122,7 +122,7 @@
 		return
 	}
 	defer h.door.leave(c.caller)
-	c.stay = h.parts.Book.Arrive(c.service, time.Now())
+	c.stay = h.parts.Book.Track(c.service, time.Now())
 	failed := true
 	defer func() { c.stay.End(failed, time.Now()) }()
 	problem := h.run(c)
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -48,10 +48,10 @@
 // entryHost is one handler with its parts.
 type entryHost struct {
 	handler  *caller.Handler
-	book     *backlog.Book
+	book     *backlog.Tracker
 	links    *upstream.Pool
 	settler  *control.Settler
-	suspects *poison.Book
+	suspects *poison.Tracker
 	stopping atomic.Bool
 }
 
@@ -63,7 +63,7 @@
 	_, err := table.Advance(&wire.Version{Number: 1}, ruleText)
 	must.NoError(t, err)
 	table.Confirm(1, time.Now())
-	e := &entryHost{book: backlog.NewBook(), links: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewBook()}
+	e := &entryHost{book: backlog.NewTracker(), links: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewTracker()}
 	p := caller.Parts{
 		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Links: e.links, Claims: claims,
 		Settler: e.settler, Suspects: e.suspects, Book: e.book, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
--- a/entry/caller/once.go
+++ b/entry/caller/once.go
@@ -162,5 +162,5 @@
 	if !c.body.whole {
 		parts = append(parts, c.caller)
 	}
-	return poison.Of(c.body.length, c.body.start, parts...)
+	return poison.NewFingerprint(c.body.length, c.body.start, parts...)
 }
--- a/entry/peer/node.go
+++ b/entry/peer/node.go
@@ -35,7 +35,7 @@
 	Registry       *registry.Registry
 	State          func() string // what this host says of its own state
 	Ring           *key.Ring
-	Suspects       *poison.Book // nil: none are kept
+	Suspects       *poison.Tracker // nil: none are kept
 	Client         *http.Client // for the other hosts' Twirp services
 	BytesPerSecond int
 	Logger         hclog.Logger
