--- a/entry/backlog/detector.go
+++ b/entry/backlog/detector.go
@@ -5,125 +5,125 @@
 	"time"
 )
 
-// Cause says which test raised an alarm.
+// Cause is the test that raised an alarm.
 type Cause string
 
 // Causes of an alarm.
 const (
-	Rising    Cause = "rising"    // the fewest requests rose from span to span by more than chance
-	Aging     Cause = "aging"     // the oldest request's age rose from span to span beyond the usual
-	Standing  Cause = "standing"  // the fewest requests stayed at several rounds of the slots
-	Stalled   Cause = "stalled"   // requests wait and none has ended for far longer than usual
-	Threshold Cause = "threshold" // the count and age that the rule names
+	Rising    Cause = "rising"    // the minimum of pending requests rises from span to span, beyond random variation
+	Aging     Cause = "aging"     // the age of the oldest request rises from span to span, far above the baseline
+	Standing  Cause = "standing"  // the minimum of pending requests is several times the slots over a long span
+	Stalled   Cause = "stalled"   // requests wait and none completes for far longer than the baseline
+	Threshold Cause = "threshold" // the count and age limits of the rule are reached
 )
 
-// Sample is what happened since the sample before.
+// Sample is the state of a queue and its changes since the previous sample.
 type Sample struct {
 	At          time.Time
-	Pending     int // requests now
-	MinPending       int // fewest requests since the sample before
+	Pending     int // current requests
+	MinPending  int // minimum of Pending since the previous sample
 	Arrivals    int
 	Completions int
-	OldestAge      time.Duration // age of the oldest request that waits
-	ResponseP99     time.Duration // 99th percentile of the time to an answer, 0 if unknown
+	OldestAge   time.Duration // of the oldest waiting request
+	ResponseP99 time.Duration // 99th percentile of the response time, 0 if unknown
 }
 
-// Limits are what a detector holds samples against.
+// Limits are the capacity and the alarm thresholds that samples are compared with.
 type Limits struct {
-	Slots int           // requests that the instances behind run at once
-	Count int           // the rule's count, 0 for none
-	Age   time.Duration // the rule's age
+	Slots int           // requests that the instances run concurrently
+	Count int           // threshold of the rule, 0 for none
+	Age   time.Duration // threshold of the rule
 }
 
 // SampleInterval is the time between two samples.
 const SampleInterval = 50 * time.Millisecond
 
 const (
-	shortestSpan   = 350 * time.Millisecond
-	staggered      = 3 // further copies of the shortest span, each begun a little later
-	staggerSamples = 2
-	spanCount      = 8 // each span is twice as long as the one before
-	spansCompared  = 5
-	evenShare      = 0.25 // of the mean rise, that each rise must have
-	agingFactor    = 4.0  // of the usual time to an answer
-	usualTime      = time.Minute
-	chanceFactor   = 5.0 // standard deviations of the change over a span
-	varianceWeight = 0.05
-	varianceSpans  = 10 // spans after which the learnt variance is used
-	standingRounds = 5  // rounds of the slots
-	standingSpan   = 11200 * time.Millisecond
-	stalledAge     = time.Second
-	stalledFactor  = 8 // of the typical time to an answer
-	clearTime      = 5 * time.Second
+	minSpan              = 350 * time.Millisecond
+	staggeredSpans       = 3 // more spans of the shortest length, started at an offset
+	staggerSamples       = 2 // offset between them
+	spanCount            = 8 // each is twice as long as the previous one
+	spansCompared        = 5
+	minRiseShare         = 0.25 // of the mean rise; the least for each single rise
+	agingFactor          = 4.0  // of the baseline response time
+	baselineTimeConstant = time.Minute
+	significanceFactor   = 5.0 // standard deviations
+	varianceWeight       = 0.05
+	minVarianceSpans     = 10 // spans until the estimated variance is used
+	standingRounds       = 5  // multiples of the slots
+	minStandingSpan      = 11200 * time.Millisecond
+	stalledAge           = time.Second
+	stalledFactor        = 8 // of the baseline response time
+	clearAfter           = 5 * time.Second
 )
 
-// Detector tells a burst from a trend. A burst raises the number of requests
-// and lets it fall again; a trend raises the fewest requests of each span above
-// that of the span before. Spans from 0.35 s to 45 s are compared at the same
-// time, each rise against the chance rise of a flow that is in balance. The
-// zero value is ready for use.
+// Detector distinguishes a burst from a trend. A burst raises the number of
+// pending requests and lets it fall again; a trend raises the minimum of each
+// span above that of the previous span. Spans from 0.35 s to 45 s are evaluated
+// in parallel, and each rise is compared with the random variation of a flow in
+// equilibrium. The zero value is ready for use.
 type Detector struct {
-	spans    [spanCount + staggered]span
-	samples  int
-	ended    time.Time     // last sample with a completion
-	usual    time.Duration // slowly moving Typical
-	last     time.Time
-	growing  Cause
-	since    time.Time
-	peak     int
-	calmFrom time.Time
+	spans          [spanCount + staggeredSpans]span
+	samples        int
+	lastCompletion time.Time     // time of the last sample with a completion
+	baseline       time.Duration // moving average of ResponseP99
+	lastSample     time.Time
+	cause          Cause
+	since          time.Time
+	peak           int
+	calmSince      time.Time
 }
 
-// span collects samples of one length.
+// span aggregates samples over one length of time.
 type span struct {
-	from     time.Time
-	present  int     // when the span began
-	variance float64 // of the change over a span, learnt
-	floor    int
-	age      time.Duration // least age of the oldest request
-	flow     int           // arrivals and completions
-	open     bool
-	history  [spansCompared]closedSpan
-	closed   int
+	start        time.Time
+	startPending int     // at the start of the span
+	variance     float64 // estimate, of the change of pending over a span
+	minPending   int
+	minAge       time.Duration // minimum age of the oldest request
+	events       int           // arrivals plus completions
+	open         bool
+	history      [spansCompared]closedSpan
+	closed       int
 }
 
 type closedSpan struct {
-	floor    int
-	age      time.Duration
-	flow     int
-	from     time.Time
-	variance float64 // as known before the span, 0 if not yet learnt
+	minPending int
+	minAge     time.Duration
+	events     int
+	start      time.Time
+	variance   float64 // estimate before the span, 0 if not yet available
 }
 
-// Observe takes one sample and returns the cause while a backlog grows or
-// stands, and when it began; the cause is empty otherwise.
+// Observe evaluates one sample. While a backlog is growing or standing, it
+// returns the cause and the start; otherwise the cause is empty.
 func (d *Detector) Observe(s Sample, limits Limits) (Cause, time.Time) {
-	cause, since := d.judge(s, limits)
-	if d.growing != "" {
+	cause, since := d.evaluate(s, limits)
+	if d.cause != "" {
 		d.clear(s, limits, cause != "")
-		return d.growing, d.since
+		return d.cause, d.since
 	}
 	if cause != "" {
-		d.growing, d.since, d.peak = cause, since, s.Pending
-		d.calmFrom = time.Time{}
+		d.cause, d.since, d.peak = cause, since, s.Pending
+		d.calmSince = time.Time{}
 	}
-	return d.growing, d.since
+	return d.cause, d.since
 }
 
-// Restore takes over an alarm that this host raised before a restart.
-func (d *Detector) Restore(cause Cause, since time.Time) { d.growing, d.since = cause, since }
+// Restore restores an alarm that was raised before a restart.
+func (d *Detector) Restore(cause Cause, since time.Time) { d.cause, d.since = cause, since }
 
-// judge closes the spans that have passed and runs the tests.
-func (d *Detector) judge(s Sample, limits Limits) (Cause, time.Time) {
+// evaluate closes the spans that have elapsed and runs the tests.
+func (d *Detector) evaluate(s Sample, limits Limits) (Cause, time.Time) {
 	cause, since := Cause(""), time.Time{}
-	d.learn(s)
+	d.updateBaseline(s)
 	for n := range d.spans {
 		if d.samples < stagger(n) {
 			continue
 		}
 		length := spanLength(n)
 		if d.spans[n].add(s, length) && cause == "" {
-			cause, since = d.spans[n].judge(length, d.usual, limits)
+			cause, since = d.spans[n].evaluate(length, d.baseline, limits)
 		}
 	}
 	d.samples++
@@ -139,144 +139,145 @@
 	return "", time.Time{}
 }
 
-// learn moves the usual time to an answer slowly towards the latest one, so
-// that a growing backlog does not soon look usual.
-func (d *Detector) learn(s Sample) {
-	if d.usual == 0 {
-		d.usual = s.ResponseP99
+// updateBaseline moves the baseline towards the current response time. The time
+// constant is long, so that a growing backlog does not soon count as normal.
+func (d *Detector) updateBaseline(s Sample) {
+	if d.baseline == 0 {
+		d.baseline = s.ResponseP99
 	}
-	if !d.last.IsZero() && d.growing == "" {
-		weight := min(1, float64(s.At.Sub(d.last))/float64(usualTime))
-		d.usual += time.Duration(weight * float64(s.ResponseP99-d.usual))
+	if !d.lastSample.IsZero() && d.cause == "" {
+		weight := min(1, float64(s.At.Sub(d.lastSample))/float64(baselineTimeConstant))
+		d.baseline += time.Duration(weight * float64(s.ResponseP99-d.baseline))
 	}
-	d.last = s.At
+	d.lastSample = s.At
 }
 
-// stagger returns the samples after which a span begins.
+// stagger returns the number of samples before span n starts.
 func stagger(n int) int { return max(n-spanCount+1, 0) * staggerSamples }
 
-// spanLength returns the length of a span.
+// spanLength returns the length of span n.
 func spanLength(n int) time.Duration {
 	if n >= spanCount {
-		return shortestSpan
+		return minSpan
 	}
-	return shortestSpan << n
+	return minSpan << n
 }
 
-// stalled reports whether requests wait and none has ended for far longer than
-// an answer usually takes.
+// stalled reports whether requests wait and none has completed for far longer
+// than the baseline response time.
 func (d *Detector) stalled(s Sample, limits Limits) bool {
-	if s.Completions > 0 || s.Pending <= limits.Slots || d.ended.IsZero() {
-		d.ended = s.At
+	if s.Completions > 0 || s.Pending <= limits.Slots || d.lastCompletion.IsZero() {
+		d.lastCompletion = s.At
 	}
-	limit := max(stalledAge, stalledFactor*d.usual)
-	return d.usual > 0 && s.At.Sub(d.ended) >= limit && s.OldestAge >= limit
+	limit := max(stalledAge, stalledFactor*d.baseline)
+	return d.baseline > 0 && s.At.Sub(d.lastCompletion) >= limit && s.OldestAge >= limit
 }
 
-// clear ends an alarm once requests stayed few for a while.
+// clear ends an alarm once the number of requests has been low for clearAfter.
 func (d *Detector) clear(s Sample, limits Limits, raised bool) {
 	d.peak = max(d.peak, s.Pending)
 	calm := !raised && s.Pending <= max(limits.Slots, d.peak/2) && (limits.Count == 0 || s.Pending < limits.Count || s.OldestAge < limits.Age)
 	if !calm {
-		d.calmFrom = time.Time{}
+		d.calmSince = time.Time{}
 		return
 	}
-	if d.calmFrom.IsZero() {
-		d.calmFrom = s.At
+	if d.calmSince.IsZero() {
+		d.calmSince = s.At
 	}
-	if s.At.Sub(d.calmFrom) >= clearTime {
+	if s.At.Sub(d.calmSince) >= clearAfter {
 		*d = Detector{}
 	}
 }
 
-// add takes a sample and reports whether the span was closed by it.
-func (p *span) add(s Sample, length time.Duration) bool {
-	if !p.open {
-		p.open = true
-		p.begin(s)
+// add adds a sample and reports whether it closed the span.
+func (sp *span) add(s Sample, length time.Duration) bool {
+	if !sp.open {
+		sp.open = true
+		sp.begin(s)
 		return false
 	}
-	p.floor = min(p.floor, s.MinPending)
-	p.age = min(p.age, s.OldestAge)
-	p.flow += s.Arrivals + s.Completions
-	if s.At.Sub(p.from) < length {
+	sp.minPending = min(sp.minPending, s.MinPending)
+	sp.minAge = min(sp.minAge, s.OldestAge)
+	sp.events += s.Arrivals + s.Completions
+	if s.At.Sub(sp.start) < length {
 		return false
 	}
-	p.close(s)
-	p.begin(s)
+	sp.close(s)
+	sp.begin(s)
 	return true
 }
 
-func (p *span) begin(s Sample) {
-	p.from, p.present, p.floor, p.age, p.flow = s.At, s.Pending, s.Pending, s.OldestAge, 0
+func (sp *span) begin(s Sample) {
+	sp.start, sp.startPending, sp.minPending, sp.minAge, sp.events = s.At, s.Pending, s.Pending, s.OldestAge, 0
 }
 
-func (p *span) close(s Sample) {
-	one := closedSpan{floor: p.floor, age: p.age, flow: p.flow, from: p.from}
-	if p.closed >= varianceSpans {
-		one.variance = p.variance
+func (sp *span) close(s Sample) {
+	c := closedSpan{minPending: sp.minPending, minAge: sp.minAge, events: sp.events, start: sp.start}
+	if sp.closed >= minVarianceSpans {
+		c.variance = sp.variance
 	}
-	copy(p.history[:], p.history[1:])
-	p.history[spansCompared-1] = one
-	p.closed++
-	change := float64(s.Pending - p.present)
-	weight := max(varianceWeight, 1/float64(p.closed))
-	p.variance += weight * (change*change - p.variance)
+	copy(sp.history[:], sp.history[1:])
+	sp.history[spansCompared-1] = c
+	sp.closed++
+	delta := float64(s.Pending - sp.startPending)
+	weight := max(varianceWeight, 1/float64(sp.closed))
+	sp.variance += weight * (delta*delta - sp.variance)
 }
 
-func (p *span) judge(length, usual time.Duration, limits Limits) (Cause, time.Time) {
-	first, last := p.history[0], p.history[spansCompared-1]
-	if length >= standingSpan && last.floor >= standingRounds*max(limits.Slots, 1) {
-		return Standing, last.from
+func (sp *span) evaluate(length, baseline time.Duration, limits Limits) (Cause, time.Time) {
+	first, last := sp.history[0], sp.history[spansCompared-1]
+	if length >= minStandingSpan && last.minPending >= standingRounds*max(limits.Slots, 1) {
+		return Standing, last.start
 	}
-	if p.closed < spansCompared || last.floor <= limits.Slots {
+	if sp.closed < spansCompared || last.minPending <= limits.Slots {
 		return "", time.Time{}
 	}
-	if p.aging(usual) {
-		return Aging, first.from
+	if sp.aging(baseline) {
+		return Aging, first.start
 	}
-	if p.rising() && p.beyondChance() {
-		return Rising, first.from
+	if sp.rising() && sp.significant() {
+		return Rising, first.start
 	}
 	return "", time.Time{}
 }
 
-// aging reports whether the oldest request grew older from span to span and is
-// far older than usual, while requests became more.
-func (p *span) aging(usual time.Duration) bool {
+// aging reports whether the age of the oldest request rose from span to span
+// and is far above the baseline, while the number of requests rose too.
+func (sp *span) aging(baseline time.Duration) bool {
 	for n := 1; n < spansCompared; n++ {
-		if p.history[n].age <= p.history[n-1].age {
+		if sp.history[n].minAge <= sp.history[n-1].minAge {
 			return false
 		}
 	}
-	last := p.history[spansCompared-1]
-	return usual > 0 && p.rising() && float64(last.age) >= agingFactor*float64(usual)
+	last := sp.history[spansCompared-1]
+	return baseline > 0 && sp.rising() && float64(last.minAge) >= agingFactor*float64(baseline)
 }
 
-// rising reports whether requests became more from span to span, each time by
-// a fair part of the whole rise: the jump of a burst is not.
-func (p *span) rising() bool {
-	rise := p.history[spansCompared-1].floor - p.history[0].floor
-	least := evenShare * float64(rise) / (spansCompared - 1)
+// rising reports whether the minimum of pending requests rose in each span, by
+// at least minRiseShare of the mean rise. This excludes the single jump of a burst.
+func (sp *span) rising() bool {
+	rise := sp.history[spansCompared-1].minPending - sp.history[0].minPending
+	minRise := minRiseShare * float64(rise) / (spansCompared - 1)
 	for n := 1; n < spansCompared; n++ {
-		step := p.history[n].floor - p.history[n-1].floor
-		if step <= 0 || float64(step) < least {
+		step := sp.history[n].minPending - sp.history[n-1].minPending
+		if step <= 0 || float64(step) < minRise {
 			return false
 		}
 	}
 	return true
 }
 
-// beyondChance reports whether requests became more than the changes before
-// the rise explain, or than a balanced flow explains while those are unknown.
-func (p *span) beyondChance() bool {
+// significant reports whether the rise exceeds random variation. The variance is
+// the one estimated before the rise or, until it is available, that of a flow in
+// equilibrium with as many arrivals and completions.
+func (sp *span) significant() bool {
 	variance := 0.0
-	for _, one := range p.history {
-		variance += float64(one.flow)
+	for _, c := range sp.history {
+		variance += float64(c.events)
 	}
-	if before := p.history[0].variance; before > 0 {
-		variance = before * spansCompared
+	if estimated := sp.history[0].variance; estimated > 0 {
+		variance = estimated * spansCompared
 	}
-	rise := p.history[spansCompared-1].floor - p.history[0].floor
-	return float64(rise) >= chanceFactor*math.Sqrt(variance)
+	rise := sp.history[spansCompared-1].minPending - sp.history[0].minPending
+	return float64(rise) >= significanceFactor*math.Sqrt(variance)
 }
--- a/entry/backlog/latency.go
+++ b/entry/backlog/latency.go
@@ -8,7 +8,7 @@
 
 // Bounds of recorded latencies.
 const (
-	highestLatency     = 10 * time.Minute
+	maxLatency         = 10 * time.Minute
 	latencyDigits      = 2
 	windowLength       = 10 * time.Second
 	quantileInterval   = time.Second
@@ -16,38 +16,39 @@
 	percentile99       = 99
 	percentile999      = 99.9
 	microsecond        = int64(time.Microsecond)
-	fewestForQuantiles = 10
+	minQuantileSamples = 10
 )
 
-// window holds the latencies of the last one to two window lengths.
-type window struct {
-	current  *hdrhistogram.Histogram
-	previous *hdrhistogram.Histogram
-	from     time.Time
-	asOf     time.Time // when the quantiles were computed
-	p50      time.Duration
-	p99      time.Duration
-	p999     time.Duration
+// latencyWindow holds the latencies of the last one to two periods of
+// windowLength.
+type latencyWindow struct {
+	current     *hdrhistogram.Histogram
+	previous    *hdrhistogram.Histogram
+	from        time.Time
+	quantilesAt time.Time // time of the last computation
+	p50         time.Duration
+	p99         time.Duration
+	p999        time.Duration
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(highestLatency/time.Microsecond), latencyDigits)
+	return hdrhistogram.New(1, int64(maxLatency/time.Microsecond), latencyDigits)
 }
 
-func (w *window) record(d time.Duration) {
+func (w *latencyWindow) record(d time.Duration) {
 	if w.current == nil {
 		w.current, w.previous = newHistogram(), newHistogram()
 	}
-	// A value beyond the range is clamped, so that recording cannot fail.
-	_ = w.current.RecordValue(min(max(int64(d)/microsecond, 1), int64(highestLatency/time.Microsecond)))
+	// Clamping to the range of the histogram makes RecordValue infallible.
+	_ = w.current.RecordValue(min(max(int64(d)/microsecond, 1), int64(maxLatency/time.Microsecond)))
 }
 
-// refresh recomputes the quantiles and begins a new window when one is due.
-func (w *window) refresh(now time.Time) {
-	if w.current == nil || now.Sub(w.asOf) < quantileInterval {
+// refresh recomputes the quantiles and rotates the histograms when due.
+func (w *latencyWindow) refresh(now time.Time) {
+	if w.current == nil || now.Sub(w.quantilesAt) < quantileInterval {
 		return
 	}
-	w.asOf = now
+	w.quantilesAt = now
 	w.compute()
 	if now.Sub(w.from) < windowLength {
 		return
@@ -57,15 +58,16 @@
 	w.current.Reset()
 }
 
-// compute sets the quantiles, zeros if too few requests ended.
-func (w *window) compute() {
-	both := newHistogram()
-	both.Merge(w.current)
-	both.Merge(w.previous)
+// compute sets the quantiles, or zeros if fewer than minQuantileSamples
+// requests have completed.
+func (w *latencyWindow) compute() {
+	merged := newHistogram()
+	merged.Merge(w.current)
+	merged.Merge(w.previous)
 	w.p50, w.p99, w.p999 = 0, 0, 0
-	if both.TotalCount() < fewestForQuantiles {
+	if merged.TotalCount() < minQuantileSamples {
 		return
 	}
-	at := func(q float64) time.Duration { return time.Duration(both.ValueAtQuantile(q) * microsecond) }
+	at := func(q float64) time.Duration { return time.Duration(merged.ValueAtQuantile(q) * microsecond) }
 	w.p50, w.p99, w.p999 = at(percentile50), at(percentile99), at(percentile999)
 }
