--- /dev/null
+++ b/entry/poison/tracker_test.go
@@ -0,0 +1,134 @@
+package poison_test
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+	"github.com/snipebeam/snipebeam/entry/poison"
+	"github.com/snipebeam/snipebeam/world/wire"
+)
+
+func lose(tracker *poison.Tracker, fp poison.Fingerprint, instance string, others ...poison.Fingerprint) {
+	var attempts []*poison.Attempt
+	for _, other := range others {
+		attempts = append(attempts, tracker.Begin(context.Background(), other, instance))
+	}
+	attempt := tracker.Begin(context.Background(), fp, instance)
+	attempt.InstanceLost(context.Background())
+	attempt.End()
+	for _, a := range attempts {
+		a.InstanceLost(context.Background())
+		a.End()
+	}
+}
+
+func refused(tracker *poison.Tracker, fp poison.Fingerprint) bool {
+	_, refused := tracker.Refused(fp, time.Now())
+	return refused
+}
+
+func TestSecondLossRefusesForASetTime(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		tracker := poison.NewTracker(poison.WithRefusalPeriod(time.Minute))
+		lose(tracker, 1, "a")
+		must.False(t, refused(tracker, 1))
+		lose(tracker, 1, "a") // the same instance, reported by another request
+		must.False(t, refused(tracker, 1))
+		lose(tracker, 1, "b")
+		must.True(t, refused(tracker, 1))
+		must.False(t, refused(tracker, 2))
+		time.Sleep(time.Minute)
+		must.False(t, refused(tracker, 1))
+	})
+}
+
+func TestHarmlessSuspectIsCleared(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		tracker := poison.NewTracker()
+		lose(tracker, 1, "a", 2)
+		ran := tracker.Begin(t.Context(), 2, "b")
+		ran.Answered()
+		ran.End()
+		lose(tracker, 1, "b", 2)
+		must.True(t, refused(tracker, 1))
+		must.False(t, refused(tracker, 2))
+	})
+}
+
+func TestSuspectsRunOneAtATime(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		tracker := poison.NewTracker()
+		lose(tracker, 1, "a", 2)
+		first := tracker.Begin(t.Context(), 1, "b")
+		entered := make(chan *poison.Attempt, 1)
+		go func() { entered <- tracker.Begin(context.Background(), 2, "b") }()
+		synctest.Wait()
+		must.Eq(t, 0, len(entered))
+		first.InstanceLost(t.Context())
+		first.End()
+		synctest.Wait()
+		second := <-entered
+		second.Answered()
+		second.End()
+		must.True(t, refused(tracker, 1))
+		must.False(t, refused(tracker, 2))
+	})
+}
+
+func TestRackLossRefusesNoRequest(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		tracker := poison.NewTracker()
+		for n := range 6 {
+			lose(tracker, 7, fmt.Sprint("rack-", n), poison.Fingerprint(100+n))
+		}
+		must.False(t, refused(tracker, 7))
+		for n := range 6 {
+			must.False(t, refused(tracker, poison.Fingerprint(100+n)))
+		}
+	})
+}
+
+func TestOtherHostsRefuseBeforeTheCallerIsAnswered(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		hosts := make([]*poison.Tracker, 29)
+		for n := range hosts {
+			hosts[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
+				for other := range hosts {
+					if other != n {
+						hosts[other].Merge(suspects, time.Now())
+					}
+				}
+			}))
+		}
+		lost := 0
+		for n := range 100 {
+			if host := hosts[n%len(hosts)]; !refused(host, 1) {
+				lose(host, 1, fmt.Sprint("instance-", lost))
+				lost++
+			}
+		}
+		must.Eq(t, 2, lost)
+	})
+}
+
+func TestRefusalOfAnotherHostIsNoLongerThanOwn(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		tracker := poison.NewTracker(poison.WithRefusalPeriod(time.Minute))
+		tracker.Merge([]*wire.Suspect{{Fingerprint: 1, Instances: []string{"a", "b"}, RefusedUntil: time.Now().Add(24 * time.Hour).UnixNano()}}, time.Now())
+		until, refused := tracker.Refused(1, time.Now())
+		must.True(t, refused)
+		must.True(t, !until.After(time.Now().Add(time.Minute)))
+	})
+}
+
+func TestFingerprintDistinguishesBodiesAndParts(t *testing.T) {
+	base := poison.NewFingerprint(1, []byte("a"), "x", "y")
+	must.Eq(t, base, poison.NewFingerprint(1, []byte("a"), "x", "y"))
+	for _, other := range []poison.Fingerprint{poison.NewFingerprint(1, []byte("b"), "x", "y"), poison.NewFingerprint(2, []byte("a"), "x", "y"), poison.NewFingerprint(1, []byte("a"), "xy", "")} {
+		must.NotEq(t, base, other)
+	}
+}
