--- a/control/peer/form.go
+++ b/control/peer/bootstrap.go
@@ -13,8 +13,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// OpenStore opens the replica of a data folder, or makes a new one with a new
-// identity in an empty folder.
+// OpenStore opens the store of a data folder. In an empty folder it creates one
+// with a new identity.
 func OpenStore(folder disk.Folder, name string) (*disk.Store, quorum.Saved, error) {
 	store, saved, err := disk.Open(folder)
 	if !errors.Is(err, disk.ErrEmpty) {
@@ -25,47 +25,47 @@
 	return store, quorum.Saved{}, err
 }
 
-// form makes the group when this host comes first in the initial membership
-// and no host of it belongs to a group yet. All of them must answer: a host
-// with a blank disk, whatever its name, never forms a second group beside one
+// formGroup bootstraps the group if this host is the first of the initial hosts
+// and none of them belongs to a group yet. All of them must respond: a host with
+// an empty disk, whatever its name, must never form a second group beside one
 // that still has a member.
-func (n *Node) form(ctx context.Context) error {
+func (n *Node) formGroup(ctx context.Context) error {
 	if n.store.Identity().GetGroup() != "" {
 		return nil
 	}
 	if len(n.cfg.InitialHosts) == 0 || n.cfg.InitialHosts[0].Name != n.cfg.Name {
-		n.logger.Info("this control host waits to be taken into a group", "identity", n.replica.ID())
+		n.logger.Info("waiting to be added to a control group", "identity", n.replica.ID())
 		return nil
 	}
-	n.logger.Info("waiting for the control hosts of the first membership", "hosts", len(n.cfg.InitialHosts))
+	n.logger.Info("waiting for all initial control hosts to respond", "hosts", len(n.cfg.InitialHosts))
 	for ctx.Err() == nil && n.store.Identity().GetGroup() == "" {
-		members, formed := n.gather(ctx)
+		members, formed := n.collectMembers(ctx)
 		if formed {
-			n.logger.Warn("a group exists already: this replica must be added to it", "identity", n.replica.ID())
+			n.logger.Warn("a control group already exists; this replica must be added to it", "identity", n.replica.ID())
 			return nil
 		}
 		if len(members) == len(n.cfg.InitialHosts) {
-			return n.found(members)
+			return n.bootstrap(members)
 		}
-		pause.For(ctx, n.cfg.electionTime())
+		pause.For(ctx, n.cfg.electionTimeout())
 	}
 	return nil
 }
 
-// gather asks every host of the initial membership for its identity. It
-// reports whether one of them belongs to a group.
-func (n *Node) gather(ctx context.Context) (members []*wire.Member, formed bool) {
+// collectMembers requests the identity of every initial host. It reports whether
+// one of them already belongs to a group.
+func (n *Node) collectMembers(ctx context.Context) (members []*wire.Member, formed bool) {
 	for _, host := range n.cfg.InitialHosts {
 		identity, name := n.store.Identity().GetIdentity(), host.Name
 		if host.Name != n.cfg.Name {
-			answer, err := n.hello(ctx, host.Address)
+			response, err := n.hello(ctx, host.Address)
 			if err != nil {
 				return nil, false
 			}
-			if answer.GetGroup() != "" {
+			if response.GetGroup() != "" {
 				return nil, true
 			}
-			identity, name = answer.GetIdentity(), answer.GetName()
+			identity, name = response.GetIdentity(), response.GetName()
 		}
 		members = append(members, &wire.Member{Name: name, Address: host.Address, Role: quorum.Voter, Identity: identity})
 	}
@@ -73,13 +73,14 @@
 }
 
 func (n *Node) hello(ctx context.Context, address string) (*wire.HelloResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.electionTime())
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.electionTimeout())
 	defer cancel()
 	return n.clients.quorum(address).Hello(ctx, &wire.HelloRequest{})
 }
 
-// found writes the first entry of the log: the membership.
-func (n *Node) found(members []*wire.Member) error {
+// bootstrap writes the initial membership as the first log entry and starts the
+// replica.
+func (n *Node) bootstrap(members []*wire.Member) error {
 	n.joinMu.Lock()
 	defer n.joinMu.Unlock()
 	if n.store.Identity().GetGroup() != "" {
@@ -93,12 +94,12 @@
 	if err := n.store.JoinGroup(uuid.NewString()); err != nil {
 		return err
 	}
-	n.logger.Info("formed a control group", "group", n.store.Identity().GetGroup(), "members", describe(members))
+	n.logger.Info("formed a control group", "group", n.store.Identity().GetGroup(), "members", describeMembers(members))
 	n.start(saved)
 	return nil
 }
 
-func describe(members []*wire.Member) string {
+func describeMembers(members []*wire.Member) string {
 	var parts []string
 	for _, m := range members {
 		parts = append(parts, m.GetName()+" "+m.GetRole()+" "+m.GetIdentity())
--- a/control/peer/change.go
+++ b/control/peer/change.go
@@ -12,25 +12,27 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Changes of the membership.
+// Membership changes.
 const (
 	ChangeAddLearner = "add-learner"
 	ChangePromote    = "promote"
 	ChangeRemove     = "remove"
 )
 
-// changeLimit is how long a change may take to be committed.
-const changeLimit = 10 * time.Second
+// changeTimeout bounds the time until a membership change is committed.
+const changeTimeout = 10 * time.Second
 
-// Group implements the Twirp service Group.
+// Group implements the Twirp service Group, the operators' interface to the
+// membership.
 type Group struct{ node *Node }
 
-// Group returns the service for operators.
+// Group returns the operators' service.
 func (n *Node) Group() *Group { return &Group{node: n} }
 
-// Change changes the membership by one replica. A follower passes it on.
+// Change adds, promotes or removes one replica. A follower forwards the request to
+// the leader.
 func (g *Group) Change(ctx context.Context, req *wire.GroupChangeRequest) (*wire.GroupChangeResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, changeLimit)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	v := g.node.view.Load()
 	switch {
@@ -40,13 +42,13 @@
 		return nil, twirp.NewError(twirp.Unavailable, agreement.ErrNoQuorum.Error())
 	}
 	if err := g.node.change(ctx, req); err != nil {
-		return g.refused(err)
+		return g.refusal(err)
 	}
 	return &wire.GroupChangeResponse{Done: true, Members: g.node.view.Load().members}, nil
 }
 
-func (g *Group) refused(err error) (*wire.GroupChangeResponse, error) {
-	if errors.Is(err, errUncertain) || errors.Is(err, errNotTaken) {
+func (g *Group) refusal(err error) (*wire.GroupChangeResponse, error) {
+	if errors.Is(err, errUncertain) || errors.Is(err, errNotLeader) {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
 	return &wire.GroupChangeResponse{Refusal: err.Error(), Members: g.node.view.Load().members}, nil
@@ -67,51 +69,52 @@
 	case ChangeRemove:
 		propose = func() (uint64, uint64, error) { return n.replica.Remove(n.identityOf(m, "")) }
 	default:
-		return errors.Errorf("a change is %s, %s or %s", ChangeAddLearner, ChangePromote, ChangeRemove)
+		return errors.Errorf("invalid membership change: must be %s, %s or %s", ChangeAddLearner, ChangePromote, ChangeRemove)
 	}
 	_, err := n.await(ctx, propose)
 	return err
 }
 
-// newLearner asks the host at the address who it is: its identity is made with
-// its data folder.
+// newLearner requests the identity of the replica at an address. The identity is
+// generated together with the data folder, so an operator need not supply it.
 func (n *Node) newLearner(ctx context.Context, m *wire.Member) (*wire.Member, error) {
-	answer, err := n.hello(ctx, m.GetAddress())
+	response, err := n.hello(ctx, m.GetAddress())
 	if err != nil {
-		return nil, errors.Wrapf(err, "ask %s for its identity", m.GetAddress())
+		return nil, errors.Wrapf(err, "request identity of %s", m.GetAddress())
 	}
 	group := n.store.Identity().GetGroup()
-	if answer.GetGroup() != "" && answer.GetGroup() != group {
-		return nil, errors.Errorf("the replica at %s belongs to another group", m.GetAddress())
+	if response.GetGroup() != "" && response.GetGroup() != group {
+		return nil, errors.Errorf("replica at %s belongs to another group", m.GetAddress())
 	}
-	if m.GetIdentity() != "" && m.GetIdentity() != answer.GetIdentity() {
-		return nil, errors.Errorf("the replica at %s has the identity %s", m.GetAddress(), answer.GetIdentity())
+	if m.GetIdentity() != "" && m.GetIdentity() != response.GetIdentity() {
+		return nil, errors.Errorf("replica at %s has identity %s", m.GetAddress(), response.GetIdentity())
 	}
-	return &wire.Member{Name: answer.GetName(), Address: m.GetAddress(), Identity: answer.GetIdentity()}, nil
+	return &wire.Member{Name: response.GetName(), Address: m.GetAddress(), Identity: response.GetIdentity()}, nil
 }
 
-// identityOf finds a member by identity, or by a name that only one has.
+// identityOf returns the identity of a member, looked up by name if necessary. It
+// is empty if the name is not unique or not found.
 func (n *Node) identityOf(m *wire.Member, role string) string {
 	if m.GetIdentity() != "" {
 		return m.GetIdentity()
 	}
 	found := ""
-	for _, one := range n.replica.Members() {
-		if one.GetName() != m.GetName() || (role != "" && one.GetRole() != role) {
+	for _, candidate := range n.replica.Members() {
+		if candidate.GetName() != m.GetName() || (role != "" && candidate.GetRole() != role) {
 			continue
 		}
 		if found != "" {
 			return ""
 		}
-		found = one.GetIdentity()
+		found = candidate.GetIdentity()
 	}
 	return found
 }
 
-// Transfer hands the leadership to a host by its name; without one the leader
-// chooses.
+// Transfer transfers the leadership to the host of the given name. If the name is
+// empty, the leader selects a voter.
 func (g *Group) Transfer(ctx context.Context, req *wire.TransferRequest) (*wire.TransferResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, changeLimit)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	n := g.node
 	v := n.view.Load()
@@ -122,12 +125,12 @@
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
 	}
 	for n.view.Load().leader == v.leader || n.view.Load().leader == "" {
-		if !pause.For(ctx, retryPause) {
+		if !pause.For(ctx, retryInterval) {
 			break
 		}
 	}
-	now := n.view.Load()
-	return &wire.TransferResponse{Done: now.leader != v.leader && now.leader != "", Leader: now.leaderName}, nil
+	current := n.view.Load()
+	return &wire.TransferResponse{Done: current.leader != v.leader && current.leader != "", Leader: current.leaderName}, nil
 }
 
 func (n *Node) transferTo(name string) error {
--- a/control/peer/client.go
+++ b/control/peer/client.go
@@ -11,11 +11,11 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// forwardLimit is how long a follower waits for the leader's answer; a
-// connection that went silent costs no more.
-const forwardLimit = 2 * time.Second
+// forwardTimeout bounds a request that a follower forwards to the leader, and so
+// the cost of a half-open connection.
+const forwardTimeout = 2 * time.Second
 
-// clientPool holds the clients for requests to the leader.
+// clientPool caches HTTP clients by address.
 type clientPool struct {
 	wrap    func(http.RoundTripper) *http.Client
 	mu      sync.Mutex
@@ -30,7 +30,7 @@
 	}
 	c, ok := p.clients[address]
 	if !ok {
-		c = p.wrap(newTransport(forwardLimit))
+		c = p.wrap(newTransport(forwardTimeout))
 		p.clients[address] = c
 	}
 	return c
@@ -44,26 +44,27 @@
 	return wire.NewGroupProtobufClient("http://"+address, p.http(address))
 }
 
-// forward proposes a command at the leader.
+// forward forwards a command to the leader and returns its result.
 func (n *Node) forward(ctx context.Context, address string, cmd *wire.Command) (*wire.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, forwardLimit)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	response, err := n.clients.quorum(address).Forward(ctx, &wire.ForwardRequest{Command: cmd})
 	switch {
-	case err != nil && neverSent(err):
-		return nil, errNotTaken
+	case err != nil && dialFailed(err):
+		return nil, errNotLeader
 	case err != nil:
 		return nil, errors.Wrap(errUncertain, err.Error())
 	case response.GetOutcome() == wire.ForwardOutcome_FORWARD_DONE:
 		return response.GetResult(), nil
 	case response.GetOutcome() == wire.ForwardOutcome_FORWARD_NOT_TAKEN:
-		return nil, errNotTaken
+		return nil, errNotLeader
 	}
 	return nil, errUncertain
 }
 
-// neverSent reports whether no connection was made at all.
-func neverSent(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+// dialFailed reports whether no connection was established, so that the request
+// cannot have been received.
+func dialFailed(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/control/peer/group_test.go
+++ b/control/peer/group_test.go
@@ -19,10 +19,10 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// patience ends a test that hangs; no verdict depends on it otherwise.
-const patience = time.Minute
+// testTimeout only ends a test that hangs; no result depends on its value.
+const testTimeout = time.Minute
 
-// host is an address at which nodes come and go.
+// host is a fixed address at which nodes are started and stopped.
 type host struct {
 	name    string
 	server  *httptest.Server
@@ -36,7 +36,7 @@
 
 func (h *host) address() string { return strings.TrimPrefix(h.server.URL, "http://") }
 
-// ServeHTTP passes requests to the node that runs, if any.
+// ServeHTTP passes requests to the running node, if any, and otherwise aborts them.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if handler := h.handler.Load(); handler != nil {
 		(*handler).ServeHTTP(w, r)
@@ -103,7 +103,7 @@
 	g.t.Cleanup(func() { h.stop() })
 }
 
-// lose stops a host and gives it a blank disk.
+// lose stops a host and replaces its disk by an empty one.
 func (g *group) lose(h *host) {
 	h.stop()
 	h.folder = memory.New()
@@ -111,7 +111,7 @@
 
 func (g *group) eventually(what string, condition func() bool) {
 	g.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		must.True(g.t, time.Now().Before(deadline), must.Sprint(what))
 		time.Sleep(time.Millisecond)
@@ -124,7 +124,7 @@
 	}}}
 }
 
-// submit proposes at a host until the answer is certain.
+// submit retries a proposal at a host until its result is certain.
 func (g *group) submit(h *host, base uint64) *wire.SubmitResponse {
 	g.t.Helper()
 	var response *wire.SubmitResponse
@@ -151,29 +151,29 @@
 	return found
 }
 
-// others returns all hosts but one.
-func (g *group) others(not *host) []*host {
+// others returns all hosts except one.
+func (g *group) others(excluded *host) []*host {
 	var all []*host
 	for _, h := range g.hosts {
-		if h != not {
+		if h != excluded {
 			all = append(all, h)
 		}
 	}
 	return all
 }
 
-// change asks a host for a change of membership until it is done.
+// change retries a membership change at a host until it is done.
 func (g *group) change(h *host, change string, m *wire.Member) {
 	g.t.Helper()
-	last := ""
-	deadline := time.Now().Add(patience)
+	lastResult := ""
+	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
 		response, err := h.node.Group().Change(context.Background(), &wire.GroupChangeRequest{Change: change, Member: m})
 		if err == nil && response.GetDone() {
 			return
 		}
-		last = fmt.Sprint(response.GetRefusal(), err)
+		lastResult = fmt.Sprint(response.GetRefusal(), err)
 		time.Sleep(time.Millisecond)
 	}
-	must.Unreachable(g.t, must.Sprintf("%s: %s", change, last))
+	must.Unreachable(g.t, must.Sprintf("%s: %s", change, lastResult))
 }
--- a/control/peer/join.go
+++ b/control/peer/join.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// joinInterval is how often a replica outside the group asks to be taken in.
+	// joinInterval is the interval at which a replica outside the group requests to join.
 	joinInterval = 500 * time.Millisecond
-	// joinLimit bounds one question of that kind.
-	joinLimit = 500 * time.Millisecond
-	// joinRedirects is how often a question follows the leader's address.
-	joinRedirects = 2
+	// joinTimeout bounds one join request.
+	joinTimeout = 500 * time.Millisecond
+	// maxJoinRedirects bounds the requests of one attempt that follow a redirect to the leader.
+	maxJoinRedirects = 2
 )
 
-// Join remembers a replica that asks to be taken into the group, if this
-// replica leads, and says who does otherwise.
+// Join registers a replica that requests to join the group. If this replica is not
+// the leader, the response names the leader's address.
 func (s *Service) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinResponse, error) {
 	n := s.node
 	v := n.view.Load()
@@ -32,20 +32,20 @@
 		response.LeaderAddress = v.leaderAddress
 		return response, nil
 	}
-	if own := n.store.Identity().GetGroup(); req.GetGroup() != "" && req.GetGroup() != own {
-		n.logger.Warn("a replica of another group asked to join", "address", req.GetAddress(), "group", req.GetGroup())
+	if group := n.store.Identity().GetGroup(); req.GetGroup() != "" && req.GetGroup() != group {
+		n.logger.Warn("rejected join request of a replica of another group", "address", req.GetAddress(), "group", req.GetGroup())
 		return response, nil
 	}
-	n.do(ctx, func() { n.steward.asked(req, time.Now()) })
+	n.do(ctx, func() { n.reconciler.addCandidate(req, time.Now()) })
 	return response, nil
 }
 
-// joinGroup asks to be taken in as long as this replica is outside the group
-// or does not hear its leader.
+// joinGroup requests to join while this replica is not a member or is out of
+// contact with the leader.
 func (n *Node) joinGroup(ctx context.Context) {
 	known := slices.Clone(n.cfg.Seeds())
 	for pause.For(ctx, joinInterval) {
-		if n.belongs() {
+		if n.isConnectedMember() {
 			continue
 		}
 		candidates := append(n.cfg.Seeds(), known...)
@@ -57,30 +57,31 @@
 			if address == n.cfg.Address {
 				continue
 			}
-			told, err := n.askToJoin(ctx, address)
+			addresses, err := n.requestJoin(ctx, address)
 			if err != nil {
-				n.logger.Debug("a control host does not answer", "address", address, "error", err)
+				n.logger.Debug("control host did not respond", "address", address, "error", err)
 				continue
 			}
-			known = told
+			known = addresses
 			break
 		}
 	}
 }
 
-// belongs reports whether this replica is a member and hears the leader.
-func (n *Node) belongs() bool {
+// isConnectedMember reports whether this replica is a member and is in contact
+// with a leader or a quorum.
+func (n *Node) isConnectedMember() bool {
 	v := n.view.Load()
 	return v.address != "" && (v.quorum || v.leader != "")
 }
 
-// askToJoin asks at an address and at the leader that it names. It returns the
-// addresses of the members.
-func (n *Node) askToJoin(ctx context.Context, address string) ([]string, error) {
-	own := n.store.Identity()
-	req := &wire.JoinRequest{Name: n.cfg.Name, Address: n.cfg.Address, Identity: own.GetIdentity(), Group: own.GetGroup()}
-	for range joinRedirects {
-		response, err := n.askOnce(ctx, address, req)
+// requestJoin sends a join request to an address and follows redirects to the
+// leader. It returns the addresses of the members.
+func (n *Node) requestJoin(ctx context.Context, address string) ([]string, error) {
+	self := n.store.Identity()
+	req := &wire.JoinRequest{Name: n.cfg.Name, Address: n.cfg.Address, Identity: self.GetIdentity(), Group: self.GetGroup()}
+	for range maxJoinRedirects {
+		response, err := n.sendJoin(ctx, address, req)
 		if err != nil {
 			return nil, err
 		}
@@ -89,11 +90,11 @@
 		}
 		address = response.GetLeaderAddress()
 	}
-	return nil, errors.New("the control hosts do not agree who leads")
+	return nil, errors.New("control hosts disagree about the leader")
 }
 
-func (n *Node) askOnce(ctx context.Context, address string, req *wire.JoinRequest) (*wire.JoinResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, joinLimit)
+func (n *Node) sendJoin(ctx context.Context, address string, req *wire.JoinRequest) (*wire.JoinResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	return n.clients.quorum(address).Join(ctx, req)
 }
--- a/control/peer/link.go
+++ b/control/peer/link.go
@@ -12,19 +12,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of a link.
+// Limits of a link.
 const (
-	linkQueue         = 4096
-	maxStepMessages   = 256
-	maxStepBytes      = 512 << 10
-	snapshotSendLimit = 30 * time.Second
-	idleLimit         = 30 * time.Second
-	snapshotReads     = 3
+	linkQueueLength      = 4096
+	maxStepMessages      = 256
+	maxStepBytes         = 512 << 10
+	snapshotSendTimeout  = 30 * time.Second
+	idleConnTimeout      = 30 * time.Second
+	snapshotReadAttempts = 3
 )
 
-// link sends messages to one other replica, one request at a time. A request
-// that is not answered within the step limit gives its connection up, so that
-// a connection that went silent is noticed and replaced.
+// link sends messages to one other replica, one request at a time. A request that
+// times out closes the idle connections, so that a half-open connection is
+// detected and replaced.
 type link struct {
 	node      *Node
 	address   string
@@ -36,11 +36,11 @@
 }
 
 func (n *Node) newLink(address string) *link {
-	ctx, cancel := context.WithCancel(n.linkCtx)
-	transport := newTransport(n.cfg.electionTime())
+	ctx, cancel := context.WithCancel(n.runCtx)
+	transport := newTransport(n.cfg.electionTimeout())
 	l := &link{
 		node: n, address: address, cancel: cancel, transport: transport,
-		queue:     make(chan *wire.QuorumMessage, linkQueue),
+		queue:     make(chan *wire.QuorumMessage, linkQueueLength),
 		snapshots: make(chan *wire.QuorumMessage, 1),
 		client:    wire.NewQuorumProtobufClient("http://"+address, n.cfg.Client(transport)),
 	}
@@ -49,14 +49,15 @@
 	return l
 }
 
-func newTransport(dialLimit time.Duration) *http.Transport {
+func newTransport(dialTimeout time.Duration) *http.Transport {
 	return &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialLimit}).DialContext,
-		MaxIdleConnsPerHost: 64, IdleConnTimeout: idleLimit,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: 64, IdleConnTimeout: idleConnTimeout,
 	}
 }
 
-// push queues a message; a full queue drops it, as a network may.
+// push enqueues a message. A full queue drops it; the replicas tolerate the loss,
+// as they do on the network.
 func (l *link) push(m *wire.QuorumMessage) {
 	queue := l.queue
 	if m.GetKind() == wire.QuorumKind_QUORUM_SNAPSHOT {
@@ -74,12 +75,12 @@
 		case <-ctx.Done():
 			return
 		case m := <-l.queue:
-			l.step(ctx, l.gather(m), l.node.cfg.electionTime())
+			l.step(ctx, l.collectBatch(m), l.node.cfg.electionTimeout())
 		}
 	}
 }
 
-func (l *link) gather(first *wire.QuorumMessage) []*wire.QuorumMessage {
+func (l *link) collectBatch(first *wire.QuorumMessage) []*wire.QuorumMessage {
 	messages := []*wire.QuorumMessage{first}
 	size := proto.Size(first)
 	for len(messages) < maxStepMessages && size < maxStepBytes {
@@ -97,13 +98,13 @@
 func (l *link) step(ctx context.Context, messages []*wire.QuorumMessage, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	own := l.node.store.Identity()
+	self := l.node.store.Identity()
 	req := &wire.StepRequest{
-		Group: own.GetGroup(), Messages: messages, From: own.GetIdentity(), FromAddress: l.node.view.Load().address,
+		Group: self.GetGroup(), Messages: messages, From: self.GetIdentity(), FromAddress: l.node.view.Load().address,
 	}
 	if _, err := l.client.Step(ctx, req); err != nil {
 		l.transport.CloseIdleConnections()
-		l.node.logger.Debug("a control host does not answer", "address", l.address, "error", err)
+		l.node.logger.Debug("control host did not respond", "address", l.address, "error", err)
 	}
 }
 
@@ -118,29 +119,29 @@
 	}
 }
 
-// sendSnapshot attaches the newest snapshot, which may be newer than the one
-// the replica knew of.
+// sendSnapshot attaches the latest snapshot to a message and sends it. It may be
+// newer than the one for which the replica created the message.
 func (l *link) sendSnapshot(ctx context.Context, m *wire.QuorumMessage) {
 	snapshot, err := l.newestSnapshot(ctx)
 	if err != nil || snapshot == nil {
-		l.node.logger.Error("there is no snapshot to send", "error", err)
+		l.node.logger.Error("no snapshot available to send", "error", err)
 		return
 	}
 	m.Snapshot = snapshot
 	l.node.logger.Info("snapshot sent", "address", l.address, "index", snapshot.GetIndex(), "bytes", len(snapshot.GetState()))
-	l.step(ctx, []*wire.QuorumMessage{m}, snapshotSendLimit)
+	l.step(ctx, []*wire.QuorumMessage{m}, snapshotSendTimeout)
 }
 
-// newestSnapshot reads the newest snapshot. A newer one may replace the file
-// while it is read.
+// newestSnapshot reads the latest snapshot. It retries because a newer one may
+// replace the file during the read.
 func (l *link) newestSnapshot(ctx context.Context) (*wire.LogSnapshot, error) {
 	var snapshot *wire.LogSnapshot
 	var err error
-	for range snapshotReads {
+	for range snapshotReadAttempts {
 		if snapshot, err = l.node.store.Snapshot(); err == nil {
 			return snapshot, nil
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryInterval)
 	}
 	return nil, err
 }
@@ -163,13 +164,13 @@
 	}
 }
 
-// maxStrangers bounds the senders that are not in the membership known here.
-const maxStrangers = 16
+// maxUnknownSenders bounds the number of senders outside the local membership.
+const maxUnknownSenders = 16
 
-// meet remembers the address of a sender: a replica that does not know the
-// membership yet must answer all the same.
-func (n *Node) meet(id, address string) {
-	if address == "" || len(n.strangers) >= maxStrangers || n.strangers[id] == address {
+// addUnknownSender records the address of a sender outside the local membership,
+// because a replica that has not received the membership yet must still respond.
+func (n *Node) addUnknownSender(id, address string) {
+	if address == "" || len(n.unknownSenders) >= maxUnknownSenders || n.unknownSenders[id] == address {
 		return
 	}
 	for _, m := range n.replica.Members() {
@@ -177,17 +178,17 @@
 			return
 		}
 	}
-	n.strangers[id] = address
+	n.unknownSenders[id] = address
 	n.syncLinks()
 }
 
-// syncLinks makes the links fit the membership.
+// syncLinks opens and closes links to match the membership.
 func (n *Node) syncLinks() {
-	wanted := maps.Clone(n.strangers)
+	wanted := maps.Clone(n.unknownSenders)
 	for _, m := range n.replica.Members() {
 		if m.GetIdentity() != n.replica.ID() {
 			wanted[m.GetIdentity()] = m.GetAddress()
-			delete(n.strangers, m.GetIdentity())
+			delete(n.unknownSenders, m.GetIdentity())
 		}
 	}
 	for id, l := range n.links {
--- a/control/peer/peer.go
+++ b/control/peer/peer.go
@@ -1,18 +1,18 @@
-// Package peer speaks to the other control hosts. A Node drives one replica:
-// it gives ticks and messages to the step function, makes its writes durable,
-// sends its messages over Twirp and applies committed commands to the machine.
-// It implements agreement.Log: any control host can be asked; a follower
+// Package peer replicates commands between the control hosts. A Node drives one
+// replica: it feeds ticks and messages to the consensus state machine, persists its
+// writes, sends its messages over Twirp and applies committed commands to the
+// replicated state. It implements agreement.Log on every control host; a follower
 // forwards to the leader.
 //
-// One goroutine owns the replica. Proposals that arrive while it writes are
-// taken together afterwards, so that one sync covers them all.
+// A single goroutine owns the replica. Proposals that arrive during a write are
+// batched, so that one sync covers them all.
 //
 // Usage:
 //
 //	node, err := peer.New(peer.Config{Name: "control-1", ...}, store, saved, machine)
 //	mux.Handle(wire.QuorumPathPrefix, wire.NewQuorumServer(node.Service()))
 //	go node.Run(ctx)
-//	defer node.Stop(ctx)
+//	defer node.TransferLeadership(ctx)
 package peer
 
 import (
@@ -31,80 +31,80 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Host is a control host of the first membership.
+// Host is a control host of the initial membership.
 type Host struct {
 	Name    string
 	Address string
 }
 
-// Config says who a node is and how it keeps time.
+// Config holds the identity, membership and timing of a node.
 type Config struct {
 	Name           string
-	Address        string          // of this host's peers listener, for others
-	InitialHosts        []Host          // first membership; its first host forms the group
-	Seeds          func() []string // addresses at which a replica asks to be taken in, as set now; nil: it waits to be added
-	Voters         int             // that the leader keeps without an operator, 0 to leave the membership as it is
+	Address        string          // of the peers listener, as other hosts reach it
+	InitialHosts   []Host          // initial membership; the first host bootstraps the group
+	Seeds          func() []string // current addresses to send join requests to; nil: wait to be added
+	Voters         int             // number that the leader maintains, 0 to leave the membership to operators
 	Tick           time.Duration
 	ElectionTicks  int
 	HeartbeatTicks int
-	Client         func(http.RoundTripper) *http.Client // adds keys
-	// OperatorClient makes the clients for operators' requests that are passed
-	// on to the leader; Client is used if it is nil.
+	Client         func(http.RoundTripper) *http.Client // adds authentication
+	// OperatorClient creates the clients that forward operators' requests to the
+	// leader. The default is Client.
 	OperatorClient func(http.RoundTripper) *http.Client
 	Logger         hclog.Logger
 }
 
-func (c Config) electionTime() time.Duration { return c.Tick * time.Duration(c.ElectionTicks) }
+func (c Config) electionTimeout() time.Duration { return c.Tick * time.Duration(c.ElectionTicks) }
 
-// Bounds of the driver.
+// Limits of a node.
 const (
-	workQueue    = 4096
-	maxDrain     = 2048
-	keptBytes    = 2 << 20 // of entries kept in memory behind a snapshot
-	minSnapshot  = 4 << 20
-	maxSnapshot  = 16 << 20
-	leaderWait   = 3 // election times that a proposal waits for a leader
-	retryPause   = 10 * time.Millisecond
-	proposeLimit = 5 * time.Second
+	workQueueLength    = 4096
+	maxTaskBatch       = 2048
+	retainedLogBytes   = 2 << 20 // of log entries retained in memory after a snapshot
+	minSnapshot        = 4 << 20
+	maxSnapshot        = 16 << 20
+	leaderWaitTimeouts = 3 // election timeouts that a request waits for a leader
+	retryInterval      = 10 * time.Millisecond
+	proposeTimeout     = 5 * time.Second
 )
 
-// Node is one control host's part of the group.
+// Node is the member of the control group on one host.
 type Node struct {
 	cfg     Config
 	store   *disk.Store
 	machine *state.Machine
 	logger  hclog.Logger
 
-	work    chan func()
-	stopped chan struct{}
-	joinMu  sync.Mutex
-	view    atomic.Pointer[view]
-	told    atomic.Pointer[toldMembers]
-	fault   atomic.Pointer[error]
+	work          chan func()
+	stopped       chan struct{}
+	joinMu        sync.Mutex
+	view          atomic.Pointer[view]
+	leaderMembers atomic.Pointer[memberReport]
+	fault         atomic.Pointer[error]
 
-	// The rest belongs to the goroutine of Run.
-	replica   *quorum.Replica
-	applied   uint64
-	pending   map[uint64]*proposal
-	reads     map[uint64]chan quorum.ReadResult
-	nextRead  uint64
-	waiters   []waiter
-	links     map[string]*link
-	strangers map[string]string // addresses of senders outside the known membership
-	linkCtx   context.Context
-	snapshots snapshotter
-	steward   steward
+	// The following fields belong to the goroutine of Run.
+	replica        *quorum.Replica
+	applied        uint64
+	pending        map[uint64]*proposal
+	reads          map[uint64]chan quorum.ReadResult
+	nextRead       uint64
+	waiters        []waiter
+	links          map[string]*link
+	unknownSenders map[string]string // addresses of senders outside the local membership
+	runCtx         context.Context
+	snapshots      snapshotter
+	reconciler     reconciler
 
-	// The group's clock as this leader advances it.
+	// The group clock, as advanced by this replica while it is the leader.
 	clockBase  int64
 	clockSince time.Time
 
 	clients clientPool
-	// operators holds the clients for operators' requests that are passed on.
+	// operators holds the clients that forward operators' requests.
 	operators clientPool
 }
 
-// New returns a node on a store that was opened or created.
+// New returns a node on an open store and restores its state.
 func New(cfg Config, store *disk.Store, saved quorum.Saved, machine *state.Machine) (*Node, error) {
 	if cfg.Client == nil {
 		cfg.Client = func(t http.RoundTripper) *http.Client { return &http.Client{Transport: t} }
@@ -117,14 +117,14 @@
 	}
 	n := &Node{
 		cfg: cfg, store: store, machine: machine, logger: cfg.Logger.Named("quorum"),
-		work: make(chan func(), workQueue), stopped: make(chan struct{}),
-		pending: map[uint64]*proposal{}, reads: map[uint64]chan quorum.ReadResult{}, links: map[string]*link{}, strangers: map[string]string{},
-		steward: newSteward(cfg.Voters),
-		clients: clientPool{wrap: cfg.Client}, operators: clientPool{wrap: cfg.OperatorClient},
+		work: make(chan func(), workQueueLength), stopped: make(chan struct{}),
+		pending: map[uint64]*proposal{}, reads: map[uint64]chan quorum.ReadResult{}, links: map[string]*link{}, unknownSenders: map[string]string{},
+		reconciler: newReconciler(cfg.Voters),
+		clients:    clientPool{wrap: cfg.Client}, operators: clientPool{wrap: cfg.OperatorClient},
 	}
 	if saved.Snapshot != nil && len(saved.Snapshot.GetState()) > 0 {
 		if err := machine.Restore(saved.Snapshot.GetState()); err != nil {
-			return nil, errors.Wrap(err, "restore the state")
+			return nil, errors.Wrap(err, "restore state from snapshot")
 		}
 		n.snapshots.lastBytes = len(saved.Snapshot.GetState())
 		saved.Snapshot = withoutState(saved.Snapshot)
@@ -142,57 +142,57 @@
 		quorum.WithSeed(seedOf(id)))
 	n.applied = n.replica.AppliedIndex()
 	if saved.Vote != nil {
-		// A group that starts again after a loss of power need not wait a whole
-		// election time; one that has a leader refuses the candidate.
-		for range n.cfg.ElectionTicks * firstElectionShare / 100 {
+		// After a power loss of all hosts, the group should not wait for a full
+		// election timeout. A group with a leader rejects the early candidate.
+		for range n.cfg.ElectionTicks * initialElectionPercent / 100 {
 			n.replica.Tick()
 		}
 	}
 }
 
-// firstElectionShare is the percentage of the election time that counts as
-// waited when a replica starts with a log.
-const firstElectionShare = 75
+// initialElectionPercent is the percentage of the election timeout that counts as
+// elapsed when a replica starts with an existing log.
+const initialElectionPercent = 75
 
 func withoutState(s *wire.LogSnapshot) *wire.LogSnapshot {
 	return &wire.LogSnapshot{Index: s.GetIndex(), Term: s.GetTerm(), Members: s.GetMembers()}
 }
 
-// Run drives the replica until the context ends or the disk fails.
+// Run drives the replica until the context is cancelled or the storage fails.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.stopped)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	n.linkCtx = ctx
+	n.runCtx = ctx
 	if n.cfg.Voters > 0 {
-		go n.keepMembership(ctx)
+		go n.reconcileMembership(ctx)
 		go n.joinGroup(ctx)
 	}
-	if err := n.form(ctx); err != nil {
-		n.halt(err)
+	if err := n.formGroup(ctx); err != nil {
+		n.fail(err)
 	}
 	ticker := time.NewTicker(n.cfg.Tick)
 	defer ticker.Stop()
 	for n.failure() == nil {
 		select {
 		case <-ctx.Done():
-			n.abandon()
+			n.abortWaiting()
 			return
 		case <-ticker.C:
 			n.replica.Tick()
 			n.publish()
 		case task := <-n.work:
 			task()
-			n.drain()
+			n.runQueued()
 		}
 		n.flush()
 	}
-	n.abandon()
+	n.abortWaiting()
 	n.publish()
 }
 
-func (n *Node) drain() {
-	for range maxDrain {
+func (n *Node) runQueued() {
+	for range maxTaskBatch {
 		select {
 		case task := <-n.work:
 			task()
@@ -202,8 +202,8 @@
 	}
 }
 
-// do runs a task on the node's goroutine. It reports whether the task was
-// handed over.
+// do enqueues a task for the goroutine of Run. It reports whether the task was
+// enqueued.
 func (n *Node) do(ctx context.Context, task func()) bool {
 	select {
 	case <-n.stopped:
@@ -215,7 +215,8 @@
 	}
 }
 
-// flush carries out what the replica wants done until nothing is left.
+// flush processes the output of the replica until there is none left: it persists
+// writes, sends messages, applies committed entries and delivers reads.
 func (n *Node) flush() {
 	for {
 		out := n.replica.Take()
@@ -224,15 +225,15 @@
 		}
 		n.send(out.Early())
 		if err := n.write(&out); err != nil {
-			n.halt(err)
+			n.fail(err)
 			return
 		}
 		n.replica.Persisted()
 		n.send(out.Messages())
 		n.apply(&out)
-		n.answerReads(out.Reads())
+		n.deliverReads(out.Reads())
 	}
-	n.noteLeader()
+	n.publishLeaderChange()
 	n.snapshotIfDue()
 }
 
@@ -252,14 +253,14 @@
 	return n.store.Write(out.Vote(), out.Entries())
 }
 
-// halt stops the node for good: after a failed write or sync nothing that this
-// host says could be relied on.
-func (n *Node) halt(err error) {
+// fail stops the node permanently: after a failed write or sync, nothing that this
+// host acknowledges could be relied on.
+func (n *Node) fail(err error) {
 	n.fault.CompareAndSwap(nil, &err)
-	n.logger.Error("this control host takes no part any more, its disk failed", "error", err)
+	n.logger.Error("storage failed, this control host has stopped participating in the control group", "error", err)
 }
 
-// failure returns what stopped the node, or nil.
+// failure returns the error that stopped the node, or nil.
 func (n *Node) failure() error {
 	if err := n.fault.Load(); err != nil {
 		return *err
@@ -269,7 +270,7 @@
 
 func (n *Node) apply(out *quorum.Output) {
 	if s := out.Snapshot(); s != nil {
-		n.installed(s)
+		n.restoreSnapshot(s)
 	}
 	for _, e := range out.Committed() {
 		n.applyEntry(e)
@@ -277,9 +278,9 @@
 	n.wakeWaiters()
 }
 
-func (n *Node) installed(s *wire.LogSnapshot) {
+func (n *Node) restoreSnapshot(s *wire.LogSnapshot) {
 	if err := n.machine.Restore(s.GetState()); err != nil {
-		n.halt(errors.Wrap(err, "restore a snapshot of the leader"))
+		n.fail(errors.Wrap(err, "restore snapshot received from the leader"))
 		return
 	}
 	n.logger.Info("snapshot installed", "index", s.GetIndex(), "bytes", len(s.GetState()))
@@ -295,15 +296,15 @@
 	case wire.EntryKind_ENTRY_COMMAND:
 		cmd := &wire.Command{}
 		if err := proto.Unmarshal(e.GetData(), cmd); err != nil {
-			n.logger.Error("a committed entry is no command", "index", e.GetIndex(), "error", err)
+			n.logger.Error("committed entry is not a valid command", "index", e.GetIndex(), "error", err)
 		}
 		result = n.machine.Apply(cmd)
 	case wire.EntryKind_ENTRY_MEMBERS:
-		n.logger.Info("membership committed", "index", e.GetIndex(), "members", describe(e.GetMembers().GetMembers()))
+		n.logger.Info("membership committed", "index", e.GetIndex(), "members", describeMembers(e.GetMembers().GetMembers()))
 		n.syncLinks()
 		n.publish()
 	}
 	n.applied = e.GetIndex()
 	n.snapshots.logBytes += len(e.GetData()) + entryOverhead
-	n.resolve(e, result)
+	n.completeProposal(e, result)
 }
--- a/control/peer/peer_test.go
+++ b/control/peer/peer_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-func TestAnyHostTakesProposalsAndConfirmsReads(t *testing.T) {
+func TestAnyHostAcceptsProposalsAndConfirmsReads(t *testing.T) {
 	g := newGroup(t, 3)
 	for n, h := range g.hosts {
 		must.True(t, g.submit(h, uint64(n)).GetAccepted())
@@ -40,7 +40,7 @@
 	must.True(t, g.submit(g.others(failed)[0], 1).GetAccepted())
 }
 
-func TestHostWithoutQuorumTakesAndConfirmsNothing(t *testing.T) {
+func TestHostWithoutQuorumAcceptsAndConfirmsNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
 	alone := g.leader()
@@ -54,7 +54,7 @@
 	must.Eq(t, 1, version.GetNumber())
 }
 
-func TestRestartedGroupKnowsWhatIsInForce(t *testing.T) {
+func TestRestartedGroupRestoresVersionInForce(t *testing.T) {
 	g := newGroup(t, 3)
 	for n := range uint64(20) {
 		g.submit(g.hosts[n%3], n)
@@ -71,24 +71,25 @@
 	must.True(t, g.submit(g.hosts[2], 20).GetAccepted())
 }
 
-// A follower can tell who answers, although only the leader knows.
-func TestFollowerTellsWhoAnswers(t *testing.T) {
+// Only the leader tracks reachability. A follower must report it all the same, from
+// the members that the leader returns with a read index.
+func TestFollowerReportsReachability(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
 	leader := g.leader()
-	asked, silent := g.others(leader)[0], g.others(leader)[1]
-	silent.stop()
-	g.eventually("one silent member", func() bool {
-		confirmed := asked.node.Confirm(context.Background()) == nil
+	follower, unreachable := g.others(leader)[0], g.others(leader)[1]
+	unreachable.stop()
+	g.eventually("one unreachable member", func() bool {
+		confirmed := follower.node.Confirm(context.Background()) == nil
 		reachable := map[string]bool{}
-		for _, m := range asked.node.Status().Members() {
+		for _, m := range follower.node.Status().Members() {
 			reachable[m.GetName()] = m.GetReachable()
 		}
-		return confirmed && reachable[asked.name] && !reachable[silent.name]
+		return confirmed && reachable[follower.name] && !reachable[unreachable.name]
 	})
 }
 
-func TestStoppingLeaderHandsOver(t *testing.T) {
+func TestStoppingLeaderTransfersLeadership(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
 	old := g.leader()
@@ -101,13 +102,13 @@
 	must.True(t, g.submit(g.others(old)[0], 1).GetAccepted())
 }
 
-// replace takes a host with a blank disk into the group in place of its old
+// replace adds a host with an empty disk to the group in place of its old
 // identity.
 func (g *group) replace(h *host, old string) {
-	asked := g.others(h)[0]
-	g.change(asked, peer.ChangeAddLearner, &wire.Member{Name: h.name, Address: h.address()})
-	g.change(asked, peer.ChangePromote, &wire.Member{Identity: h.store.Identity().GetIdentity()})
-	g.change(asked, peer.ChangeRemove, &wire.Member{Identity: old})
+	other := g.others(h)[0]
+	g.change(other, peer.ChangeAddLearner, &wire.Member{Name: h.name, Address: h.address()})
+	g.change(other, peer.ChangePromote, &wire.Member{Identity: h.store.Identity().GetIdentity()})
+	g.change(other, peer.ChangeRemove, &wire.Member{Identity: old})
 }
 
 func TestLostDiskIsReplacedThenASecondIsLost(t *testing.T) {
@@ -125,7 +126,7 @@
 	g.eventually("a confirmed read", func() bool { return leader.node.Confirm(context.Background()) == nil })
 	version, _ := leader.machine.InForce()
 	must.Eq(t, 4, version.GetNumber())
-	// A status is what the host saw a tick ago.
+	// The status of a host lags by up to one tick.
 	g.eventually("three voters and no one else", func() bool {
 		members := g.leader().node.Status().Members()
 		voters := 0
@@ -138,9 +139,9 @@
 	})
 }
 
-// The first host of the membership forms groups; with a blank disk it must
-// not, as long as another host belongs to one.
-func TestBlankHostFormsNoSecondGroup(t *testing.T) {
+// The first initial host bootstraps the group. With an empty disk it must not
+// bootstrap another one while any other host belongs to a group.
+func TestHostWithEmptyDiskFormsNoSecondGroup(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
 	founder := g.hosts[0]
@@ -184,7 +185,7 @@
 	})
 }
 
-func TestTransferMovesTheLeadershipToAName(t *testing.T) {
+func TestTransferMovesLeadershipToNamedHost(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
 	leader := g.leader()
--- a/control/peer/proposal.go
+++ b/control/peer/proposal.go
@@ -15,11 +15,11 @@
 )
 
 var (
-	errNotTaken  = agreement.ErrNotLeader
+	errNotLeader = agreement.ErrNotLeader
 	errUncertain = agreement.ErrUncertain
 )
 
-// proposal waits for its entry to be applied.
+// proposal is a proposed entry that waits to be applied.
 type proposal struct {
 	term   uint64
 	result *wire.Result
@@ -32,22 +32,22 @@
 	close(p.done)
 }
 
-// Propose returns the command's result once it is committed and applied. It
-// waits some election times for a leader.
+// Propose returns the result of a command once it is committed and applied. It
+// waits leaderWaitTimeouts election timeouts for a leader.
 func (n *Node) Propose(ctx context.Context, cmd *wire.Command) (*wire.Result, error) {
 	data, err := proto.Marshal(cmd)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode command")
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	giveUp := time.Now().Add(leaderWait * n.cfg.electionTime())
+	deadline := time.Now().Add(leaderWaitTimeouts * n.cfg.electionTimeout())
 	for {
 		result, err := n.proposeOnce(ctx, cmd, data)
 		if err == nil || errors.Is(err, errUncertain) {
 			return result, err
 		}
-		if n.failure() != nil || time.Now().After(giveUp) || !pause.For(ctx, retryPause) {
+		if n.failure() != nil || time.Now().After(deadline) || !pause.For(ctx, retryInterval) {
 			return nil, err
 		}
 	}
@@ -57,36 +57,36 @@
 	v := n.view.Load()
 	switch {
 	case n.failure() != nil:
-		return nil, errors.Wrap(agreement.ErrNoQuorum, "the disk of this control host failed")
+		return nil, errors.Wrap(agreement.ErrNoQuorum, "storage of this control host failed")
 	case v.isLeader:
-		return n.proposeHere(ctx, data)
+		return n.proposeLocally(ctx, data)
 	case v.leaderAddress != "":
 		return n.forward(ctx, v.leaderAddress, cmd)
 	}
 	return nil, agreement.ErrNoQuorum
 }
 
-// proposeHere proposes at the own replica, which must lead.
-func (n *Node) proposeHere(ctx context.Context, data []byte) (*wire.Result, error) {
+// proposeLocally proposes to the local replica, which must be the leader.
+func (n *Node) proposeLocally(ctx context.Context, data []byte) (*wire.Result, error) {
 	return n.await(ctx, func() (uint64, uint64, error) { return n.replica.Propose(n.stamp(data)) })
 }
 
-// commandClock is the number of the field clock of a Command.
+// commandClock is the field number of Command.clock.
 const commandClock = 8
 
-// stamp adds the group's clock to an encoded command.
+// stamp appends the group clock to an encoded command.
 func (n *Node) stamp(data []byte) []byte {
 	clock := n.clockBase + int64(time.Since(n.clockSince))
 	data = protowire.AppendTag(slices.Clip(data), commandClock, protowire.VarintType)
 	return protowire.AppendVarint(data, uint64(clock))
 }
 
-// await runs a proposal on the node's goroutine and waits for its outcome.
+// await runs a proposal on the goroutine of Run and waits for its result.
 func (n *Node) await(ctx context.Context, propose func() (index, term uint64, err error)) (*wire.Result, error) {
 	p := &proposal{done: make(chan struct{})}
-	handed := n.do(ctx, func() {
+	queued := n.do(ctx, func() {
 		if ctx.Err() != nil {
-			p.finish(nil, errNotTaken)
+			p.finish(nil, errNotLeader)
 			return
 		}
 		index, term, err := propose()
@@ -97,8 +97,8 @@
 		p.term = term
 		n.pending[index] = p
 	})
-	if !handed {
-		return nil, errNotTaken
+	if !queued {
+		return nil, errNotLeader
 	}
 	select {
 	case <-p.done:
@@ -117,20 +117,21 @@
 
 func proposeError(err error) error {
 	if errors.Is(err, quorum.ErrNotLeader) {
-		return errNotTaken
+		return errNotLeader
 	}
 	return err
 }
 
-// resolve tells the proposal that waits at an index what became of it.
-func (n *Node) resolve(e *wire.LogEntry, result *wire.Result) {
+// completeProposal completes the proposal pending at the index of an entry. If the
+// entry has another term, the proposal was overwritten by another leader.
+func (n *Node) completeProposal(e *wire.LogEntry, result *wire.Result) {
 	p, ok := n.pending[e.GetIndex()]
 	if !ok {
 		return
 	}
 	delete(n.pending, e.GetIndex())
 	if p.term != e.GetTerm() {
-		p.finish(nil, errNotTaken)
+		p.finish(nil, errNotLeader)
 		return
 	}
 	p.finish(result, nil)
@@ -143,15 +144,15 @@
 	}
 }
 
-// abandon ends everything that waits on the node's goroutine.
-func (n *Node) abandon() {
+// abortWaiting aborts all pending proposals, reads and waiters.
+func (n *Node) abortWaiting() {
 	n.failPending(errUncertain)
-	for id, answer := range n.reads {
+	for id, reply := range n.reads {
 		delete(n.reads, id)
-		answer <- quorum.ReadResult{}
+		reply <- quorum.ReadResult{}
 	}
 	for _, w := range n.waiters {
-		close(w.gaveUp)
+		close(w.aborted)
 	}
 	n.waiters = nil
 }
--- a/control/peer/read.go
+++ b/control/peer/read.go
@@ -13,20 +13,20 @@
 // waiter waits for an index to be applied.
 type waiter struct {
 	index   uint64
-	reached chan struct{}
-	gaveUp  chan struct{}
+	applied chan struct{}
+	aborted chan struct{}
 }
 
-// Confirm returns nil once the applied state is at least as new as any command
-// that was committed before the call.
+// Confirm returns nil once the applied state includes every command that was
+// committed before the call.
 func (n *Node) Confirm(ctx context.Context) error {
-	giveUp := time.Now().Add(leaderWait * n.cfg.electionTime())
+	deadline := time.Now().Add(leaderWaitTimeouts * n.cfg.electionTimeout())
 	for {
 		index, ok := n.readIndex(ctx)
 		if ok {
 			return n.awaitApplied(ctx, index)
 		}
-		if n.failure() != nil || time.Now().After(giveUp) || !pause.For(ctx, retryPause) {
+		if n.failure() != nil || time.Now().After(deadline) || !pause.For(ctx, retryInterval) {
 			return agreement.ErrNoQuorum
 		}
 	}
@@ -38,26 +38,27 @@
 	case n.failure() != nil:
 		return 0, false
 	case v.isLeader:
-		return n.readHere(ctx)
+		return n.readIndexLocally(ctx)
 	case v.leaderAddress != "":
-		return n.readAt(ctx, v.leaderAddress)
+		return n.readIndexFrom(ctx, v.leaderAddress)
 	}
 	return 0, false
 }
 
-// readHere asks the own replica, which must lead.
-func (n *Node) readHere(ctx context.Context) (uint64, bool) {
-	answer := make(chan quorum.ReadResult, 1)
-	handed := n.do(ctx, func() {
+// readIndexLocally requests a read index from the local replica, which must be the
+// leader.
+func (n *Node) readIndexLocally(ctx context.Context) (uint64, bool) {
+	reply := make(chan quorum.ReadResult, 1)
+	queued := n.do(ctx, func() {
 		n.nextRead++
-		n.reads[n.nextRead] = answer
+		n.reads[n.nextRead] = reply
 		n.replica.Read(n.nextRead)
 	})
-	if !handed {
+	if !queued {
 		return 0, false
 	}
 	select {
-	case result := <-answer:
+	case result := <-reply:
 		return result.Index(), result.OK()
 	case <-ctx.Done():
 	case <-n.stopped:
@@ -65,39 +66,39 @@
 	return 0, false
 }
 
-// readAt asks the leader at an address.
-func (n *Node) readAt(ctx context.Context, address string) (uint64, bool) {
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.electionTime())
+// readIndexFrom requests a read index from the leader at an address.
+func (n *Node) readIndexFrom(ctx context.Context, address string) (uint64, bool) {
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.electionTimeout())
 	defer cancel()
 	response, err := n.clients.quorum(address).ReadIndex(ctx, &wire.ReadIndexRequest{})
 	if err == nil && response.GetConfirmed() {
-		n.told.Store(&toldMembers{members: response.GetMembers(), at: time.Now()})
+		n.leaderMembers.Store(&memberReport{members: response.GetMembers(), receivedAt: time.Now()})
 	}
 	return response.GetIndex(), err == nil && response.GetConfirmed()
 }
 
-func (n *Node) answerReads(results []quorum.ReadResult) {
+func (n *Node) deliverReads(results []quorum.ReadResult) {
 	for _, result := range results {
-		if answer, ok := n.reads[result.ID()]; ok {
+		if reply, ok := n.reads[result.ID()]; ok {
 			delete(n.reads, result.ID())
-			answer <- result
+			reply <- result
 		}
 	}
 }
 
 func (n *Node) awaitApplied(ctx context.Context, index uint64) error {
-	w := waiter{index: index, reached: make(chan struct{}), gaveUp: make(chan struct{})}
-	handed := n.do(ctx, func() {
+	w := waiter{index: index, applied: make(chan struct{}), aborted: make(chan struct{})}
+	queued := n.do(ctx, func() {
 		n.waiters = append(n.waiters, w)
 		n.wakeWaiters()
 	})
-	if !handed {
+	if !queued {
 		return agreement.ErrNoQuorum
 	}
 	select {
-	case <-w.reached:
+	case <-w.applied:
 		return nil
-	case <-w.gaveUp:
+	case <-w.aborted:
 	case <-ctx.Done():
 	case <-n.stopped:
 	}
@@ -105,14 +106,14 @@
 }
 
 func (n *Node) wakeWaiters() {
-	kept := n.waiters[:0]
+	remaining := n.waiters[:0]
 	for _, w := range n.waiters {
 		if n.applied >= w.index {
-			close(w.reached)
+			close(w.applied)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(n.waiters[len(kept):])
-	n.waiters = kept
+	clear(n.waiters[len(remaining):])
+	n.waiters = remaining
 }
--- /dev/null
+++ b/control/peer/reconciler.go
@@ -0,0 +1,232 @@
+package peer
+
+import (
+	"context"
+	"time"
+
+	"github.com/snipebeam/snipebeam/control/quorum"
+	"github.com/snipebeam/snipebeam/world/wire"
+)
+
+const (
+	// reconcileInterval is the interval at which the leader checks the membership.
+	reconcileInterval = 200 * time.Millisecond
+	// candidateTTL is how long a candidate remains valid after its last join request: a
+	// few request intervals.
+	candidateTTL = 4 * joinInterval
+	// replaceVoterAfter is how long a voter must be unreachable before a learner is
+	// promoted in its place: longer than a planned restart.
+	replaceVoterAfter = 4 * time.Second
+	// removeLearnerAfter is how long a learner must be unreachable before it is removed.
+	removeLearnerAfter = 20 * time.Second
+)
+
+// reconciler maintains the number of voters: the leader adds replicas that request
+// to join, promotes them, and removes replicas that lost their disk. It belongs to
+// the goroutine of Run.
+type reconciler struct {
+	targetVoters     int // 0 to leave the membership to operators
+	candidates       map[string]candidate
+	unreachableSince map[string]time.Time // by identity of the member
+}
+
+type candidate struct {
+	member      *wire.Member
+	lastRequest time.Time
+}
+
+func newReconciler(voters int) reconciler {
+	return reconciler{targetVoters: voters, candidates: map[string]candidate{}, unreachableSince: map[string]time.Time{}}
+}
+
+// addCandidate registers a replica that requests to join.
+func (r *reconciler) addCandidate(req *wire.JoinRequest, now time.Time) {
+	r.candidates[req.GetIdentity()] = candidate{
+		member: &wire.Member{Name: req.GetName(), Address: req.GetAddress(), Identity: req.GetIdentity()}, lastRequest: now,
+	}
+}
+
+// membershipChange is a change of one member.
+type membershipChange struct {
+	kind   string
+	member *wire.Member
+	reason string
+}
+
+// memberState is the state of a member as observed by the leader.
+type memberState struct {
+	member    *wire.Member
+	reachable bool
+	replaced  bool // its address is used by a replica with another identity
+}
+
+// next returns the change of the highest priority, or nil.
+func (r *reconciler) next(self string, members []memberState, now time.Time) *membershipChange {
+	if r.targetVoters == 0 {
+		return nil
+	}
+	r.updateState(members, now)
+	for _, choose := range []func(string, []memberState, time.Time) *membershipChange{r.add, r.promote, r.remove} {
+		if change := choose(self, members, now); change != nil {
+			return change
+		}
+	}
+	return nil
+}
+
+// updateState updates since when members are unreachable and which are replaced, and
+// drops expired candidates.
+func (r *reconciler) updateState(members []memberState, now time.Time) {
+	seen := map[string]bool{}
+	for n := range members {
+		m := &members[n]
+		id := m.member.GetIdentity()
+		seen[id] = true
+		if _, known := r.unreachableSince[id]; !m.reachable && !known {
+			r.unreachableSince[id] = now
+		}
+		if m.reachable {
+			delete(r.unreachableSince, id)
+		}
+		for _, c := range r.candidates {
+			m.replaced = m.replaced || !m.reachable && c.member.GetAddress() == m.member.GetAddress() && c.member.GetIdentity() != id
+		}
+		for _, other := range members {
+			m.replaced = m.replaced || !m.reachable && other.reachable && other.member.GetAddress() == m.member.GetAddress() && other.member.GetIdentity() != id
+		}
+	}
+	for id := range r.unreachableSince {
+		if !seen[id] {
+			delete(r.unreachableSince, id)
+		}
+	}
+	for id, c := range r.candidates {
+		if now.Sub(c.lastRequest) > candidateTTL {
+			delete(r.candidates, id)
+		}
+	}
+}
+
+func (r *reconciler) unreachableFor(m memberState, now time.Time) time.Duration {
+	since, unreachable := r.unreachableSince[m.member.GetIdentity()]
+	if !unreachable {
+		return 0
+	}
+	return now.Sub(since)
+}
+
+// add adds a candidate as a learner.
+func (r *reconciler) add(_ string, members []memberState, _ time.Time) *membershipChange {
+	for id, c := range r.candidates {
+		known := false
+		for _, m := range members {
+			known = known || m.member.GetIdentity() == id
+		}
+		if !known {
+			return &membershipChange{kind: ChangeAddLearner, member: c.member, reason: "join requested"}
+		}
+	}
+	return nil
+}
+
+// promote promotes a learner if there are too few voters, not counting those that
+// were replaced or have been unreachable for replaceVoterAfter.
+func (r *reconciler) promote(_ string, members []memberState, now time.Time) *membershipChange {
+	voters, failed := 0, 0
+	for _, m := range members {
+		if m.member.GetRole() != quorum.Voter {
+			continue
+		}
+		voters++
+		if m.replaced || r.unreachableFor(m, now) > replaceVoterAfter {
+			failed++
+		}
+	}
+	if voters-failed >= r.targetVoters {
+		return nil
+	}
+	for _, m := range members {
+		if m.member.GetRole() == quorum.Learner && m.reachable {
+			return &membershipChange{kind: ChangePromote, member: m.member, reason: "too few voters"}
+		}
+	}
+	return nil
+}
+
+// remove removes surplus voters, failed ones first, and learners that are replaced or
+// have been unreachable for removeLearnerAfter. It never removes the leader.
+func (r *reconciler) remove(self string, members []memberState, now time.Time) *membershipChange {
+	voters := 0
+	for _, m := range members {
+		if m.member.GetRole() == quorum.Voter {
+			voters++
+		}
+	}
+	for _, m := range members {
+		if m.member.GetIdentity() == self {
+			continue
+		}
+		unreachable := r.unreachableFor(m, now)
+		switch {
+		case m.member.GetRole() == quorum.Voter && voters > r.targetVoters && (m.replaced || unreachable > replaceVoterAfter):
+			return &membershipChange{kind: ChangeRemove, member: m.member, reason: "replaced by another voter"}
+		case m.member.GetRole() == quorum.Learner && (m.replaced || unreachable > removeLearnerAfter):
+			return &membershipChange{kind: ChangeRemove, member: m.member, reason: "learner unreachable"}
+		}
+	}
+	if voters <= r.targetVoters {
+		return nil
+	}
+	for _, m := range members { // no failed voter: remove the first one that is not the leader
+		if m.member.GetRole() == quorum.Voter && m.member.GetIdentity() != self {
+			return &membershipChange{kind: ChangeRemove, member: m.member, reason: "too many voters"}
+		}
+	}
+	return nil
+}
+
+// reconcileMembership runs the reconciler while this replica is the leader and
+// applies its changes one at a time.
+func (n *Node) reconcileMembership(ctx context.Context) {
+	ticker := time.NewTicker(reconcileInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if !n.view.Load().isLeader {
+			continue
+		}
+		var change *membershipChange
+		_ = n.call(ctx, func() error {
+			change = n.reconciler.next(n.replica.ID(), n.memberStates(), time.Now())
+			return nil
+		})
+		if change != nil {
+			n.applyChange(ctx, change)
+		}
+	}
+}
+
+func (n *Node) memberStates() []memberState {
+	var states []memberState
+	for _, m := range n.replica.Members() {
+		_, active := n.replica.Match(m.GetIdentity())
+		states = append(states, memberState{member: m, reachable: active})
+	}
+	return states
+}
+
+func (n *Node) applyChange(ctx context.Context, change *membershipChange) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	defer cancel()
+	err := n.change(ctx, &wire.GroupChangeRequest{Change: change.kind, Member: change.member})
+	if err != nil {
+		n.logger.Debug("membership not changed", "change", change.kind, "host", change.member.GetName(), "error", err)
+		return
+	}
+	n.logger.Info("membership changed", "change", change.kind, "host", change.member.GetName(),
+		"identity", change.member.GetIdentity(), "why", change.reason)
+}
--- a/control/peer/service.go
+++ b/control/peer/service.go
@@ -15,55 +15,55 @@
 // Service returns the service for the other control hosts.
 func (n *Node) Service() *Service { return &Service{node: n} }
 
-// Step takes messages of another replica. It answers before they are handled.
+// Step receives messages of another replica. It responds before they are processed.
 func (s *Service) Step(ctx context.Context, req *wire.StepRequest) (*wire.StepResponse, error) {
 	if err := s.node.accept(req); err != nil {
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
 	}
-	handed := s.node.do(ctx, func() {
-		s.node.meet(req.GetFrom(), req.GetFromAddress())
+	queued := s.node.do(ctx, func() {
+		s.node.addUnknownSender(req.GetFrom(), req.GetFromAddress())
 		for _, m := range req.GetMessages() {
 			s.node.replica.Step(m)
 		}
 	})
-	if !handed {
-		return nil, twirp.NewError(twirp.Unavailable, "this control host takes no part now")
+	if !queued {
+		return nil, twirp.NewError(twirp.Unavailable, "replica of this control host is not running")
 	}
 	return &wire.StepResponse{}, nil
 }
 
-// accept checks that messages are meant for this replica and its group. A
-// replica of no group joins the one whose messages name its identity.
+// accept checks that the messages are addressed to this replica and its group. A
+// replica without a group joins that of messages addressed to its identity.
 func (n *Node) accept(req *wire.StepRequest) error {
-	own := n.store.Identity()
-	if own.GetGroup() == req.GetGroup() && req.GetGroup() != "" {
+	self := n.store.Identity()
+	if self.GetGroup() == req.GetGroup() && req.GetGroup() != "" {
 		return nil
 	}
 	n.joinMu.Lock()
 	defer n.joinMu.Unlock()
-	own = n.store.Identity()
+	self = n.store.Identity()
 	for _, m := range req.GetMessages() {
-		if req.GetGroup() == "" || m.GetTo() != own.GetIdentity() {
-			return errors.Errorf("messages for %s, this is replica %s", m.GetTo(), own.GetIdentity())
+		if req.GetGroup() == "" || m.GetTo() != self.GetIdentity() {
+			return errors.Errorf("messages addressed to %s, but this is replica %s", m.GetTo(), self.GetIdentity())
 		}
 	}
-	switch own.GetGroup() {
+	switch self.GetGroup() {
 	case req.GetGroup():
 		return nil
 	case "":
-		n.logger.Info("joined a control group", "group", req.GetGroup(), "identity", own.GetIdentity())
+		n.logger.Info("joined a control group", "group", req.GetGroup(), "identity", self.GetIdentity())
 		return n.store.JoinGroup(req.GetGroup())
 	}
-	return errors.Errorf("messages of group %s, this replica is of %s", req.GetGroup(), own.GetGroup())
+	return errors.Errorf("messages from group %s, but this replica belongs to %s", req.GetGroup(), self.GetGroup())
 }
 
-// Hello tells who answers at this address.
+// Hello returns the name, identity and group of this replica.
 func (s *Service) Hello(context.Context, *wire.HelloRequest) (*wire.HelloResponse, error) {
-	own := s.node.store.Identity()
-	return &wire.HelloResponse{Name: s.node.cfg.Name, Identity: own.GetIdentity(), Group: own.GetGroup()}, nil
+	self := s.node.store.Identity()
+	return &wire.HelloResponse{Name: s.node.cfg.Name, Identity: self.GetIdentity(), Group: self.GetGroup()}, nil
 }
 
-// Forward proposes a command that another control host was given.
+// Forward proposes a command that another control host received.
 func (s *Service) Forward(ctx context.Context, req *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 	data, err := proto.Marshal(req.GetCommand())
 	if err != nil {
@@ -72,7 +72,7 @@
 	if !s.node.view.Load().isLeader {
 		return &wire.ForwardResponse{Outcome: wire.ForwardOutcome_FORWARD_NOT_TAKEN}, nil
 	}
-	result, err := s.node.proposeHere(ctx, data)
+	result, err := s.node.proposeLocally(ctx, data)
 	switch {
 	case err == nil:
 		return &wire.ForwardResponse{Outcome: wire.ForwardOutcome_FORWARD_DONE, Result: result}, nil
@@ -82,11 +82,12 @@
 	return &wire.ForwardResponse{Outcome: wire.ForwardOutcome_FORWARD_NOT_TAKEN}, nil
 }
 
-// ReadIndex confirms the leadership for a read at another control host.
+// ReadIndex confirms the leadership and returns the read index for a linearizable
+// read on another control host.
 func (s *Service) ReadIndex(ctx context.Context, _ *wire.ReadIndexRequest) (*wire.ReadIndexResponse, error) {
 	if !s.node.view.Load().isLeader {
 		return &wire.ReadIndexResponse{}, nil
 	}
-	index, ok := s.node.readHere(ctx)
+	index, ok := s.node.readIndexLocally(ctx)
 	return &wire.ReadIndexResponse{Index: index, Confirmed: ok, Members: s.node.view.Load().members}, nil
 }
--- a/control/peer/snapshot.go
+++ b/control/peer/snapshot.go
@@ -6,13 +6,13 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// entryOverhead is what an entry costs in the log beside its data, in bytes.
+// entryOverhead is the size in bytes of a log entry without its data.
 const entryOverhead = 48
 
-// snapshotter decides when a snapshot is taken. It grows the time between two
-// with the size of the state, so that the work stays in proportion.
+// snapshotter decides when to take a snapshot. The log between two snapshots grows
+// with the size of the state, so that the cost stays proportional.
 type snapshotter struct {
-	logBytes  int // applied since the last snapshot
+	logBytes  int // bytes applied since the last snapshot
 	lastBytes int // size of the last snapshot
 	running   bool
 }
@@ -21,8 +21,8 @@
 	return !s.running && s.logBytes >= min(max(minSnapshot, s.lastBytes), maxSnapshot)
 }
 
-// snapshotIfDue encodes and writes a snapshot beside the node's goroutine,
-// which only freezes the state.
+// snapshotIfDue encodes and writes a snapshot in the background. The goroutine of
+// Run only freezes the state.
 func (n *Node) snapshotIfDue() {
 	if !n.snapshots.due() || n.failure() != nil {
 		return
@@ -42,13 +42,13 @@
 	if err == nil {
 		err = n.store.Truncate(meta.GetIndex())
 	}
-	n.do(n.linkCtx, func() {
+	n.do(n.runCtx, func() {
 		n.snapshots.running = false
 		if err != nil {
-			n.halt(errors.Wrap(err, "save snapshot"))
+			n.fail(errors.Wrap(err, "save snapshot"))
 			return
 		}
 		n.snapshots.lastBytes = len(data)
-		n.replica.Compact(meta.GetIndex(), keptBytes)
+		n.replica.Compact(meta.GetIndex(), retainedLogBytes)
 	})
 }
--- a/control/peer/stop.go
+++ b/control/peer/transfer.go
@@ -7,25 +7,25 @@
 	"github.com/snipebeam/snipebeam/world/pause"
 )
 
-// handOverTimes is how many election times a stopping leader waits for its
-// successor.
-const handOverTimes = 3
+// transferTimeouts is the number of election timeouts for which a stopping leader
+// waits for its successor.
+const transferTimeouts = 3
 
-// TransferLeadership gives the leadership to another voter, if this host has it, and
-// waits until it is gone or the time for it is over.
+// TransferLeadership transfers the leadership to another voter, if this replica is
+// the leader, and waits until it is transferred or transferTimeouts have elapsed.
 func (n *Node) TransferLeadership(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTimes*n.cfg.electionTime())
+	ctx, cancel := context.WithTimeout(ctx, transferTimeouts*n.cfg.electionTimeout())
 	defer cancel()
 	if err := n.call(ctx, func() error { return n.replica.Transfer("") }); err != nil {
 		return
 	}
-	for n.view.Load().isLeader && pause.For(ctx, retryPause) {
+	for n.view.Load().isLeader && pause.For(ctx, retryInterval) {
 		continue
 	}
-	n.logger.Info("leadership handed over", "leader", n.view.Load().leaderName)
+	n.logger.Info("leadership transferred", "leader", n.view.Load().leaderName)
 }
 
-// call runs a task on the node's goroutine and waits for its error.
+// call runs a task on the goroutine of Run and waits for its error.
 func (n *Node) call(ctx context.Context, task func() error) error {
 	done := make(chan error, 1)
 	if !n.do(ctx, func() { done <- task() }) {
--- a/control/peer/view.go
+++ b/control/peer/view.go
@@ -8,55 +8,57 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// view is what other goroutines see of the replica.
+// view is an immutable snapshot of the replica for other goroutines.
 type view struct {
 	isLeader      bool
-	address       string // of this host, as the membership has it
+	address       string // of this host according to the membership
 	leader        string // identity
 	leaderName    string
 	leaderAddress string
 	term          uint64
 	commitIndex   uint64
 	quorum        bool
-	heardAt       time.Time // when a quorum's word was last heard
+	quorumAt      time.Time // time of the last contact with a quorum
 	members       []*wire.Member
 }
 
-// Status describes the control group as this host sees it.
+// Status returns the status of the control group from this host's point of view.
 func (n *Node) Status() agreement.Status {
 	v := n.view.Load()
 	members := v.members
-	if told := n.told.Load(); told != nil && !v.isLeader && time.Since(told.at) < toldLimit {
-		members = told.members
+	if report := n.leaderMembers.Load(); report != nil && !v.isLeader && time.Since(report.receivedAt) < memberReportTTL {
+		members = report.members
 	}
-	return agreement.NewStatus(v.leaderName, v.leaderAddress, v.term, v.commitIndex, v.quorum && time.Since(v.heardAt) < staleTimes*n.cfg.electionTime(), members).WithAsOf(v.heardAt)
+	return agreement.NewStatus(v.leaderName, v.leaderAddress, v.term, v.commitIndex, v.quorum && time.Since(v.quorumAt) < staleQuorumTimeouts*n.cfg.electionTimeout(), members).WithAsOf(v.quorumAt)
 }
 
-// staleTimes is how many election times old the last word of a quorum may be:
-// a replica that waits for its disk hears nothing meanwhile.
-const staleTimes = 2
+// staleQuorumTimeouts is the number of election timeouts after which the last
+// contact with a quorum is stale. It is more than one because a replica receives
+// nothing while it waits for its disk.
+const staleQuorumTimeouts = 2
 
-// toldLimit is how long a follower passes on what the leader said.
-const toldLimit = 3 * time.Second
+// memberReportTTL is how long a follower reports the members received from the leader.
+const memberReportTTL = 3 * time.Second
 
-// toldMembers are the members as the leader saw them: only it knows how far
-// they are and whether they answer.
-type toldMembers struct {
-	members []*wire.Member
-	at      time.Time
+// memberReport holds the members as reported by the leader. Only the leader has
+// their match index and reachability.
+type memberReport struct {
+	members    []*wire.Member
+	receivedAt time.Time
 }
 
-// noteLeader publishes the view at once when the leader or the term changed.
-func (n *Node) noteLeader() {
+// publishLeaderChange publishes the view immediately, rather than at the next tick,
+// if the leader or the term has changed.
+func (n *Node) publishLeaderChange() {
 	v := n.view.Load()
-	leads := n.replica.Role() == quorum.Leader
-	if v.leader == n.replica.Leader() && v.term == n.replica.Term() && v.isLeader == leads {
+	isLeader := n.replica.Role() == quorum.Leader
+	if v.leader == n.replica.Leader() && v.term == n.replica.Term() && v.isLeader == isLeader {
 		return
 	}
-	if v.isLeader && !leads {
+	if v.isLeader && !isLeader {
 		n.failPending(errUncertain)
 	}
-	if leads {
+	if isLeader {
 		n.clockBase, n.clockSince = n.machine.Clock(), time.Now()
 	}
 	n.publish()
@@ -69,9 +71,9 @@
 		leader:   n.replica.Leader(), term: n.replica.Term(), commitIndex: n.replica.CommitIndex(),
 		quorum: n.replica.HeardQuorum() && n.failure() == nil,
 	}
-	v.heardAt = n.view.Load().heardAt
+	v.quorumAt = n.view.Load().quorumAt
 	if v.quorum {
-		v.heardAt = time.Now()
+		v.quorumAt = time.Now()
 	}
 	for _, m := range n.replica.Members() {
 		if m.GetIdentity() == v.leader {
