--- a/entry/backlog/detector.go
+++ b/entry/backlog/detector.go
@@ -47,7 +47,7 @@
 	minRiseShare         = 0.25 // of the mean rise; the least for each single rise
 	agingFactor          = 4.0  // of the baseline response time
 	baselineTimeConstant = time.Minute
-	significanceFactor   = 5.0 // standard deviations
+	significanceFactor   = 5.0 // standard deviations of the random change
 	varianceWeight       = 0.05
 	minVarianceSpans     = 10 // spans until the estimated variance is used
 	standingRounds       = 5  // multiples of the slots
