--- a/control/peer/read.go
+++ b/control/peer/read.go
@@ -52,7 +52,7 @@
 	queued := n.do(ctx, func() {
 		n.nextRead++
 		n.reads[n.nextRead] = reply
-		n.replica.Read(n.nextRead)
+		n.replica.ReadIndex(n.nextRead)
 	})
 	if !queued {
 		return 0, false
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -101,7 +101,7 @@
 	if c.aim.IsZero() {
 		return q
 	}
-	return q.Aiming(c.aim)
+	return q.WithSoftDeadline(c.aim)
 }
 
 // attempt sends the request to one instance.
@@ -178,13 +178,13 @@
 func (d *dispatch) send(attempt int) (*upstream.Exchange, error) {
 	var opts []upstream.SendOption
 	if d.ctx == nil { // two exchanges cannot both tell the caller
-		opts = append(opts, upstream.WithInform(d.c.inform))
+		opts = append(opts, upstream.WithInterimHandler(d.c.inform))
 	}
 	if speaks := d.c.dialect; speaks.Identity != "" {
 		opts = append(opts, upstream.WithIdentity(speaks.Identity, d.c.r.Header.Get(speaks.Identity)))
 	}
 	if d.c.dialect.Unframed {
-		opts = append(opts, upstream.WithUnframed())
+		opts = append(opts, upstream.WithCloseDelimited())
 	}
 	switch {
 	case attempt > 1:
@@ -219,8 +219,8 @@
 	note.Attempt = attempt
 	note.Reason = d.ticket.Reason()
 	note.Waited = d.ticket.Waited()
-	look := d.ticket.Look()
-	note.Asked, note.Told, note.Look = look.Asked, look.Told, look.Took
+	look := d.ticket.Probes()
+	note.Asked, note.Told, note.Look = look.Sent, look.Completed, look.Elapsed
 	note.Candidates = d.ticket.Explain()
 	note.Latency = d.report.Latency
 }
@@ -253,14 +253,14 @@
 	case upstream.Cancelled:
 		d.report.Failed = d.c.clock.cause() == errDeadline
 	case upstream.Unopened:
-		d.report.Failed, d.report.Lost = true, true
+		d.report.Failed, d.report.ConnectionLost = true, true
 	case upstream.Silent:
-		d.report.Lost = !links.Connects(ctx, address)
-		d.report.Failed = d.report.Lost
+		d.report.ConnectionLost = !links.CanConnect(ctx, address)
+		d.report.Failed = d.report.ConnectionLost
 	case upstream.Closed, upstream.Stale:
 		d.report.Failed = true
-		d.report.Lost = !links.Reachable(ctx, address)
-		if d.report.Lost {
+		d.report.ConnectionLost = !links.Reachable(ctx, address)
+		if d.report.ConnectionLost {
 			d.flight.InstanceLost(ctx)
 		}
 	case upstream.Malformed:
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -65,7 +65,7 @@
 	table.Confirm(1, time.Now())
 	e := &entryHost{book: backlog.NewTracker(), links: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewTracker()}
 	p := caller.Parts{
-		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Links: e.links, Claims: claims,
+		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastLoaded(), route.WithTerms(termsOf(table))), Links: e.links, Claims: claims,
 		Settler: e.settler, Suspects: e.suspects, Book: e.book, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
 	}
 	for _, opt := range opts {
--- a/entry/caller/hedge.go
+++ b/entry/caller/hedge.go
@@ -119,7 +119,7 @@
 		return last.d.conclude(last.attempt, last.exchange, last.err)
 	}
 	other.cancel()
-	other.report = route.Report{Beaten: true, Latency: time.Since(other.started)}
+	other.report = route.Report{HedgeCancelled: true, Latency: time.Since(other.started)}
 	go func() {
 		if lost := <-results; lost.exchange != nil {
 			lost.exchange.Close()
--- a/entry/caller/host_test.go
+++ b/entry/caller/host_test.go
@@ -31,7 +31,7 @@
 	}
 	views.Store(all)
 	return serveEntry(t, newEntry(t, views, nil, func(p *caller.Parts) {
-		p.Table, p.Router = table, route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table)))
+		p.Table, p.Router = table, route.NewRouter(views, route.NewLeastLoaded(), route.WithTerms(termsOf(table)))
 	}))
 }
 
--- a/entry/caller/retry_test.go
+++ b/entry/caller/retry_test.go
@@ -65,7 +65,7 @@
 		return contract.NewService(service, contract.WithRetryBudget(0.1))
 	})
 	entry := serveEntry(t, newEntry(t, views, newClaims(), func(p *caller.Parts) {
-		router := route.NewRouter(views, route.NewLeastCount(), tenth)
+		router := route.NewRouter(views, route.NewLeastLoaded(), tenth)
 		p.Router, p.Budget = router, router
 	}))
 	for range 300 {
