--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -180,10 +180,10 @@
 	if d.ctx == nil { // two exchanges cannot both tell the caller
 		opts = append(opts, upstream.WithInform(d.c.inform))
 	}
-	if speaks := d.c.dialect; speaks.Identity != "" {
-		opts = append(opts, upstream.WithIdentity(speaks.Identity, d.c.r.Header.Get(speaks.Identity)))
+	if speaks := d.c.dialect; speaks.RequestID != "" {
+		opts = append(opts, upstream.WithIdentity(speaks.RequestID, d.c.r.Header.Get(speaks.RequestID)))
 	}
-	if d.c.dialect.Unframed {
+	if d.c.dialect.CloseDelimited {
 		opts = append(opts, upstream.WithUnframed())
 	}
 	switch {
@@ -192,12 +192,12 @@
 	case !d.c.repeatable():
 		opts = append(opts, upstream.WithMaxIdle(freshIdle))
 	}
-	exchange, err := d.h.parts.Links.Send(d.context(), d.target.Address(), d.outgoing(attempt), opts...)
+	exchange, err := d.h.parts.Pool.Send(d.context(), d.target.Address(), d.outgoing(attempt), opts...)
 	var failure *upstream.Failure
 	if errors.As(err, &failure) && failure.Cause() == upstream.Stale && d.c.repeatable() && d.c.body.replayable() {
 		d.stale = true // the instance may have run it before it closed the link
 		opts = append(opts, upstream.WithMaxIdle(0))
-		return d.h.parts.Links.Send(d.context(), d.target.Address(), d.outgoing(attempt), opts...)
+		return d.h.parts.Pool.Send(d.context(), d.target.Address(), d.outgoing(attempt), opts...)
 	}
 	return exchange, err
 }
@@ -247,7 +247,7 @@
 func (d *dispatch) judge(failure *upstream.Failure) {
 	ctx, cancel := d.h.reachContext()
 	defer cancel()
-	links, address := d.h.parts.Links, d.target.Address()
+	links, address := d.h.parts.Pool, d.target.Address()
 	switch failure.Cause() {
 	case upstream.Full, upstream.Body:
 	case upstream.Cancelled:
--- a/entry/caller/body.go
+++ b/entry/caller/body.go
@@ -150,7 +150,7 @@
 		return nil
 	}
 	b.allowed, b.bounded = b.read, true
-	return ignoreUnsupported(b.call.control.SetReadDeadline(time.Now().Add(b.limits.Progress)))
+	return ignoreUnsupported(b.call.control.SetReadDeadline(time.Now().Add(b.limits.ProgressTimeout)))
 }
 
 // finish takes the bound off the caller's link, which the server watches
--- a/entry/caller/call.go
+++ b/entry/caller/call.go
@@ -51,7 +51,7 @@
 func newCall(w http.ResponseWriter, r *http.Request, limits Limits, speaks *Dialect) *call {
 	return &call{
 		id: idOf(r, speaks), dialect: speaks, service: serviceOf(r, speaks), caller: callerOf(r, speaks), w: w, control: http.NewResponseController(w), r: r,
-		layer: layerOf(r, speaks), progress: limits.Progress,
+		layer: layerOf(r, speaks), progress: limits.ProgressTimeout,
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // idOf returns the identity that the caller gave, or a new one.
 func idOf(r *http.Request, speaks *Dialect) string {
-	if id := header(r.Header, speaks.Identity); id != "" && len(id) <= maxIDBytes {
+	if id := header(r.Header, speaks.RequestID); id != "" && len(id) <= maxIDBytes {
 		return id
 	}
 	return newID()
--- a/entry/caller/dialect.go
+++ b/entry/caller/dialect.go
@@ -11,12 +11,12 @@
 // Dialect is how callers and instances say, in headers, what HTTP itself does
 // not say. An empty name means that nothing is said.
 type Dialect struct {
-	Service  string // request: the service
-	Caller   string // request: who calls
-	Deadline string // request: time left, milliseconds
-	Attempt  string // request: which attempt it is
-	Identity string // request: its identity, which answers repeat
-	Instance string // request to an instance: the one that it is for
+	Service   string // request: the service
+	Caller    string // request: who calls
+	Deadline  string // request: time left, milliseconds
+	Attempt   string // request: which attempt it is
+	RequestID string // request: its identity, which answers repeat
+	Instance  string // request to an instance: the one that it is for
 
 	// Refused reports whether an answer promises that the instance did not
 	// start.
@@ -29,11 +29,11 @@
 	// Outcomes adds this host's own outcome headers to answers, and reads those
 	// of a layer below.
 	Outcomes bool
-	// Unframed passes on answers that end with their link, as whole unless the
+	// CloseDelimited passes on answers that end with their link, as whole unless the
 	// link was reset.
-	Unframed bool
-	// Problem writes an outcome other than an answer.
-	Problem func(w http.ResponseWriter, refusal Refusal)
+	CloseDelimited bool
+	// WriteProblem writes an outcome other than an answer.
+	WriteProblem func(w http.ResponseWriter, refusal ErrorResponse)
 }
 
 // LoadReport is what an instance says of its load.
@@ -42,8 +42,8 @@
 	Speed    float64 // time that work takes now, as a multiple of the usual; 0 if not told
 }
 
-// Refusal is an outcome other than an answer, as a caller is told.
-type Refusal struct {
+// ErrorResponse is an outcome other than an answer, as a caller is told.
+type ErrorResponse struct {
 	Problem    *outcome.Problem
 	ID         string        // of the decision, or the request's identity in the dialect
 	RetryAfter time.Duration // 0: the reason's own advice
@@ -57,7 +57,7 @@
 		n, err := strconv.Atoi(h.Get(LoadHeader))
 		return LoadReport{Requests: n}, err == nil && n >= 0
 	},
-	Problem: func(w http.ResponseWriter, refusal Refusal) { refusal.Problem.Write(w, refusal.ID) },
+	WriteProblem: func(w http.ResponseWriter, refusal ErrorResponse) { refusal.Problem.Write(w, refusal.ID) },
 }
 
 // header returns the value of a header that the dialect may not have.
--- a/entry/caller/door_test.go
+++ b/entry/caller/door_test.go
@@ -19,7 +19,7 @@
 	})
 	limits := caller.DefaultLimits()
 	limits.InFlight = 8
-	entry := serveEntry(t, newEntry(t, viewsOf(address), newClaims(), func(p *caller.Parts) { p.Limits = limits }))
+	entry := serveEntry(t, newEntry(t, viewsOf(address), newClaims(), func(p *caller.Config) { p.Limits = limits }))
 	done := make(chan reply, 100)
 	send := func(name string) {
 		go func() {
@@ -52,7 +52,7 @@
 func TestLinksOfCallersAreBounded(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	listener := caller.Bound(inner, 2, 0)
+	listener := caller.LimitListener(inner, 2, 0)
 	t.Cleanup(func() { _ = listener.Close() })
 	accepted := make(chan net.Conn, 10)
 	go func() {
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -48,18 +48,18 @@
 	AllowRetry(service string) bool
 }
 
-// Parts are what a handler works with.
-type Parts struct {
+// Config are what a handler works with.
+type Config struct {
 	Host      string // this host's name
 	Zone      string
 	Table     *rules.Table
 	Router    Acquirer
-	Links     *upstream.Pool
+	Pool      *upstream.Pool
 	Claims    control.Claimer
 	Settler   *control.Settler
 	Suspects  *poison.Book
 	Budget    RetryBudget // nil: no bound
-	Book      *backlog.Book
+	Backlog   *backlog.Book
 	Decisions *decision.Log
 	Stopping  *atomic.Bool
 	Logger    hclog.Logger
@@ -69,21 +69,21 @@
 
 // Limits bound what one request may take.
 type Limits struct {
-	BodyBytes     int64         // largest request body
-	BufferBytes   int64         // part of a body that is kept for a retry and a fingerprint
-	Progress      time.Duration // time that a caller may take for ProgressBytes
-	InFlight      int           // requests in the handler, 0 for no bound
-	ProgressBytes int
+	BodyBytes       int64         // largest request body
+	BufferBytes     int64         // part of a body that is kept for a retry and a fingerprint
+	ProgressTimeout time.Duration // time that a caller may take for ProgressBytes
+	InFlight        int           // requests in the handler, 0 for no bound
+	ProgressBytes   int
 }
 
 // DefaultLimits returns the limits used where none are given.
 func DefaultLimits() Limits {
-	return Limits{BodyBytes: 4 << 30, BufferBytes: 64 << 10, Progress: 30 * time.Second, ProgressBytes: 1 << 10}
+	return Limits{BodyBytes: 4 << 30, BufferBytes: 64 << 10, ProgressTimeout: 30 * time.Second, ProgressBytes: 1 << 10}
 }
 
 // Handler serves callers.
 type Handler struct {
-	parts  Parts
+	parts  Config
 	holder string // unique to this process start
 	door   *door
 	turns  turns
@@ -91,7 +91,7 @@
 }
 
 // New returns a handler.
-func New(parts Parts) *Handler {
+func New(parts Config) *Handler {
 	if parts.Limits == (Limits{}) {
 		parts.Limits = DefaultLimits()
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	defer h.door.leave(c.caller)
-	c.stay = h.parts.Book.Arrive(c.service, time.Now())
+	c.stay = h.parts.Backlog.Arrive(c.service, time.Now())
 	failed := true
 	defer func() { c.stay.End(failed, time.Now()) }()
 	problem := h.run(c)
@@ -245,7 +245,7 @@
 		_ = c.control.SetReadDeadline(time.Now().Add(lingerLimit))
 	}
 	c.allowWrite()
-	c.dialect.Problem(c.w, Refusal{Problem: problem, ID: c.id})
+	c.dialect.WriteProblem(c.w, ErrorResponse{Problem: problem, ID: c.id})
 }
 
 func (h *Handler) write(c *call, result string) {
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -55,7 +55,7 @@
 	stopping atomic.Bool
 }
 
-type parts func(p *caller.Parts)
+type parts func(p *caller.Config)
 
 func newEntry(t testing.TB, views *route.Views, claims control.Claimer, opts ...parts) *entryHost {
 	t.Helper()
@@ -64,14 +64,14 @@
 	must.NoError(t, err)
 	table.Confirm(1, time.Now())
 	e := &entryHost{book: backlog.NewBook(), links: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewBook()}
-	p := caller.Parts{
-		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Links: e.links, Claims: claims,
-		Settler: e.settler, Suspects: e.suspects, Book: e.book, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
+	p := caller.Config{
+		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Pool: e.links, Claims: claims,
+		Settler: e.settler, Suspects: e.suspects, Backlog: e.book, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
 	}
 	for _, opt := range opts {
 		opt(&p)
 	}
-	e.links, e.suspects = p.Links, p.Suspects
+	e.links, e.suspects = p.Pool, p.Suspects
 	e.handler = caller.New(p)
 	return e
 }
--- a/entry/caller/host_test.go
+++ b/entry/caller/host_test.go
@@ -30,7 +30,7 @@
 		all[service] = route.NewView(service, []route.Member{route.NewMember(instance.New(instance.ID(service), service, address), &route.Load{})})
 	}
 	views.Store(all)
-	return serveEntry(t, newEntry(t, views, nil, func(p *caller.Parts) {
+	return serveEntry(t, newEntry(t, views, nil, func(p *caller.Config) {
 		p.Table, p.Router = table, route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table)))
 	}))
 }
--- a/entry/caller/listener.go
+++ b/entry/caller/listener.go
@@ -9,10 +9,10 @@
 
 var linksRefused = metrics.GetOrCreateCounter("snipebeam_caller_links_refused_total")
 
-// Bound returns a listener that holds at most so many links, and so many of
+// LimitListener returns a listener that holds at most so many links, and so many of
 // one caller's address; a link beyond is closed before anything is read.
 // A bound of 0 is none.
-func Bound(inner net.Listener, most, perCaller int) net.Listener {
+func LimitListener(inner net.Listener, most, perCaller int) net.Listener {
 	return &boundListener{Listener: inner, most: most, perCaller: perCaller, callers: map[string]int{}}
 }
 
--- a/entry/caller/outcome_test.go
+++ b/entry/caller/outcome_test.go
@@ -187,7 +187,7 @@
 }
 
 func TestPanicEndsTicketAndStayAndIsNoAbort(t *testing.T) {
-	e := newEntry(t, viewsOf(deadAddress(t)), newClaims(), func(p *caller.Parts) { p.Links = nil })
+	e := newEntry(t, viewsOf(deadAddress(t)), newClaims(), func(p *caller.Config) { p.Pool = nil })
 	got := call(t, http.MethodPost, serveEntry(t, e), "/x", "b")
 	must.Eq(t, http.StatusInternalServerError, got.status)
 	must.Eq(t, outcome.Internal, got.reason())
--- a/entry/caller/retry_test.go
+++ b/entry/caller/retry_test.go
@@ -44,7 +44,7 @@
 		"small body sent again":     {http.MethodPut, "/x", "body", 3, nil},
 		"large body not sent twice": {http.MethodPut, "/x", strings.Repeat("a", 200_000), 1, nil},
 		"not allowed":               {http.MethodPost, "/x", "body", 1, nil},
-		"budget spent":              {http.MethodGet, "/x", "", 1, []parts{func(p *caller.Parts) { p.Budget = noBudget{} }}},
+		"budget spent":              {http.MethodGet, "/x", "", 1, []parts{func(p *caller.Config) { p.Budget = noBudget{} }}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	tenth := route.WithTerms(func(service string) *contract.Service {
 		return contract.NewService(service, contract.WithRetryBudget(0.1))
 	})
-	entry := serveEntry(t, newEntry(t, views, newClaims(), func(p *caller.Parts) {
+	entry := serveEntry(t, newEntry(t, views, newClaims(), func(p *caller.Config) {
 		router := route.NewRouter(views, route.NewLeastCount(), tenth)
 		p.Router, p.Budget = router, router
 	}))
--- a/entry/caller/time_test.go
+++ b/entry/caller/time_test.go
@@ -90,9 +90,9 @@
 }
 
 func (n *network) pool(t testing.TB) parts {
-	return func(p *caller.Parts) {
-		p.Links = upstream.NewPool(upstream.WithDial(n.dial))
-		t.Cleanup(p.Links.Close)
+	return func(p *caller.Config) {
+		p.Pool = upstream.NewPool(upstream.WithDial(n.dial))
+		t.Cleanup(p.Pool.Close)
 	}
 }
 
--- a/entry/host/callers.go
+++ b/entry/host/callers.go
@@ -52,13 +52,13 @@
 
 func (p *callerParts) handler() *caller.Handler {
 	limits := p.Config.Limits
-	return caller.New(caller.Parts{
-		Host: p.Config.Host.Name, Zone: p.Config.Host.Zone, Table: p.Table, Router: p.Router, Links: p.Links,
-		Claims: p.Claims, Settler: p.Settler, Suspects: p.Suspects, Budget: p.Router, Book: p.Book, Decisions: p.Decisions,
+	return caller.New(caller.Config{
+		Host: p.Config.Host.Name, Zone: p.Config.Host.Zone, Table: p.Table, Router: p.Router, Pool: p.Links,
+		Claims: p.Claims, Settler: p.Settler, Suspects: p.Suspects, Budget: p.Router, Backlog: p.Book, Decisions: p.Decisions,
 		Stopping: &p.State.draining, Logger: p.Logger.Named("caller"),
 		Dialect: p.Options.dialect,
 		Limits: caller.Limits{
-			BodyBytes: limits.BodyBytes, BufferBytes: limits.BufferBytes, Progress: seconds(limits.ProgressSeconds),
+			BodyBytes: limits.BodyBytes, BufferBytes: limits.BufferBytes, ProgressTimeout: seconds(limits.ProgressSeconds),
 			ProgressBytes: limits.ProgressBytes, InFlight: limits.InFlight,
 		},
 	})
@@ -77,7 +77,7 @@
 			if err != nil {
 				return errors.Wrap(err, "listen for callers")
 			}
-			serve(server, caller.Bound(listener, cfg.Limits.Links, cfg.Limits.LinksPerCaller), "callers", logger)
+			serve(server, caller.LimitListener(listener, cfg.Limits.Links, cfg.Limits.LinksPerCaller), "callers", logger)
 			go parts.Links.Run(ctx)
 			state.bound.Store(true)
 			logger.Info("entry host started", "host", cfg.Host.Name, "callers", cfg.Listen.Callers)
