--- a/entry/caller/body.go
+++ b/entry/caller/body.go
@@ -11,121 +11,121 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// lingerLimit bounds the reading of what is left of a body that is not wanted.
-const lingerLimit = time.Second
+// lingerTimeout bounds the time for which the rest of an unwanted body is read.
+const lingerTimeout = time.Second
 
-var errBodyTooLarge = errors.New("the body is larger than the rule allows")
+var errBodyTooLarge = errors.New("request body is larger than the limit")
 
-// body is a request's body. Its start is kept in memory, and all of it if it
-// is small, so that it can be sent again. It is read with a bound on the time
-// without progress, not on the whole time.
+// body is a request body. A prefix of it, or all of a small body, is buffered
+// so that it can be sent again. Reading is bounded by the time without
+// progress, not by the total time.
 type body struct {
 	call     *call
 	limits   Limits
-	most     int64
-	length   int64 // -1 if not known
-	start    []byte
-	whole    bool // start is the whole body
-	streamed bool // the rest has been handed out
-
-	mu        sync.Mutex
-	read      int64 // from the caller
-	allowed   int64 // bytes read when time was last given
-	ended     bool  // everything was read, or nothing more will be
-	bounded   bool  // the caller's link has a read deadline
-	interrupt bool
+	maxBytes int64
+	length   int64 // -1 if unknown
+	prefix   []byte
+	complete bool // prefix is the whole body
+	streamed bool // the rest has been read by an attempt
+
+	mu              sync.Mutex
+	bytesRead       int64 // from the caller
+	readAtDeadline  int64 // bytesRead when the read deadline was last extended
+	ended           bool  // the whole body has been read
+	hasReadDeadline bool  // on the caller's connection
+	interrupted     bool
 }
 
-func newBody(c *call, most int64, limits Limits) *body {
-	b := &body{call: c, limits: limits, most: most, length: c.r.ContentLength, allowed: -int64(limits.ProgressBytes)}
+func newBody(c *call, maxBytes int64, limits Limits) *body {
+	b := &body{call: c, limits: limits, maxBytes: maxBytes, length: c.r.ContentLength, readAtDeadline: -int64(limits.ProgressBytes)}
 	if c.r.Body == nil || c.r.Body == http.NoBody || c.r.ContentLength == 0 {
-		b.length, b.whole, b.ended = 0, true, true
+		b.length, b.complete, b.ended = 0, true, true
 		return b
 	}
-	c.clock.await()
+	c.ctx.suspend()
 	return b
 }
 
-// buffer reads the body's start: all of a small body of known length, and as
-// much of any other as is asked for.
+// buffer reads the prefix of the body into memory: all of a small body of known
+// length, and up to BufferBytes of any other body if always is set.
 func (b *body) buffer(always bool) error {
-	if b.whole {
+	if b.complete {
 		return nil
 	}
 	small := b.length >= 0 && b.length <= b.limits.BufferBytes
 	if !small && !always {
 		return nil
 	}
-	var start bytes.Buffer
+	var prefix bytes.Buffer
 	if small {
-		start.Grow(int(b.length))
+		prefix.Grow(int(b.length))
 	}
-	_, err := io.CopyN(&start, source{b}, b.limits.BufferBytes)
-	b.start = start.Bytes()
+	_, err := io.CopyN(&prefix, callerReader{b}, b.limits.BufferBytes)
+	b.prefix = prefix.Bytes()
 	if errors.Is(err, io.EOF) {
-		b.whole, b.length = true, int64(len(b.start))
+		b.complete, b.length = true, int64(len(b.prefix))
 		return nil
 	}
-	if err == nil && b.length == int64(len(b.start)) {
-		b.whole = true
+	if err == nil && b.length == int64(len(b.prefix)) {
+		b.complete = true
 		b.finish()
 	}
 	return err
 }
 
-// replayable reports whether the body can be sent from its start.
-func (b *body) replayable() bool { return b.whole || !b.streamed }
+// replayable reports whether the body can be sent from its first byte.
+func (b *body) replayable() bool { return b.complete || !b.streamed }
 
-// open returns the body from its start.
+// open returns a reader of the body from its first byte.
 func (b *body) open() io.ReadCloser {
-	if b.whole && len(b.start) == 0 {
+	if b.complete && len(b.prefix) == 0 {
 		return http.NoBody
 	}
-	if b.whole {
-		return io.NopCloser(bytes.NewReader(b.start))
+	if b.complete {
+		return io.NopCloser(bytes.NewReader(b.prefix))
 	}
-	return &stream{body: b, start: b.start}
+	return &bodyReader{body: b, prefix: b.prefix}
 }
 
-// stream hands out the body's start and then what comes from the caller.
-type stream struct {
-	body  *body
-	start []byte
+// bodyReader reads the buffered prefix and then from the caller.
+type bodyReader struct {
+	body   *body
+	prefix []byte
 }
 
 // Read reads the body.
-func (s *stream) Read(p []byte) (int, error) {
+func (s *bodyReader) Read(p []byte) (int, error) {
 	s.body.streamed = true
-	if len(s.start) > 0 {
-		n := copy(p, s.start)
-		s.start = s.start[n:]
+	if len(s.prefix) > 0 {
+		n := copy(p, s.prefix)
+		s.prefix = s.prefix[n:]
 		return n, nil
 	}
-	return source{s.body}.Read(p)
+	return callerReader{s.body}.Read(p)
 }
 
-// Close ends a read that waits for the caller, unless the body has ended.
-func (s *stream) Close() error {
-	s.body.stop()
+// Close interrupts a read that waits for the caller, unless the body has ended.
+func (s *bodyReader) Close() error {
+	s.body.interrupt()
 	return nil
 }
 
-// source reads from the caller within the bounds.
-type source struct{ body *body }
+// callerReader reads from the caller within the limits on size and progress.
+type callerReader struct{ body *body }
 
 // Read reads from the caller.
-func (s source) Read(p []byte) (int, error) {
+func (s callerReader) Read(p []byte) (int, error) {
 	b := s.body
-	if err := b.allow(); err != nil {
+	if err := b.extendReadDeadline(); err != nil {
 		return 0, err
 	}
 	n, err := b.call.r.Body.Read(p)
 	b.mu.Lock()
-	b.read += int64(n)
-	tooLarge := b.read > b.most
+	b.bytesRead += int64(n)
+	tooLarge := b.bytesRead > b.maxBytes
 	b.mu.Unlock()
-	if b.call.stay != nil {
-		b.call.stay.Carried(n, b.call.rule.Contract().Bulk())
+	if b.call.tracker != nil {
+		b.call.tracker.Carried(n, b.call.rule.Contract().Bulk())
 	}
 	if tooLarge {
 		return 0, errBodyTooLarge
@@ -133,27 +133,28 @@
 	if errors.Is(err, io.EOF) {
 		b.finish()
 	} else if err != nil {
-		b.stop()
+		b.interrupt()
 	}
 	return n, err
 }
 
-// allow gives the caller time for the next bytes, if enough came since it was
-// last given.
-func (b *body) allow() error {
+// extendReadDeadline extends the read deadline of the caller's connection if
+// at least ProgressBytes have been read since it was last extended.
+func (b *body) extendReadDeadline() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.interrupt {
+	if b.interrupted {
 		return http.ErrBodyReadAfterClose
 	}
-	if b.read-b.allowed < int64(b.limits.ProgressBytes) {
+	if b.bytesRead-b.readAtDeadline < int64(b.limits.ProgressBytes) {
 		return nil
 	}
-	b.allowed, b.bounded = b.read, true
-	return ignoreUnsupported(b.call.control.SetReadDeadline(time.Now().Add(b.limits.ProgressTimeout)))
+	b.readAtDeadline, b.hasReadDeadline = b.bytesRead, true
+	return ignoreUnsupported(b.call.controller.SetReadDeadline(time.Now().Add(b.limits.ProgressTimeout)))
 }
 
-// finish takes the bound off the caller's link, which the server watches
+// finish marks the body as read. It clears the read deadline of the caller's
+// connection, since the server goes on reading from it to detect a disconnect
 // while the request is handled.
 func (b *body) finish() {
 	b.mu.Lock()
@@ -162,34 +163,34 @@
 		return
 	}
 	b.ended = true
-	b.call.clock.begin()
-	if b.bounded && !b.interrupt {
-		// The link has failed already if this does.
-		_ = b.call.control.SetReadDeadline(time.Time{})
+	b.call.ctx.start()
+	if b.hasReadDeadline && !b.interrupted {
+		// An error means that the connection has failed already.
+		_ = b.call.controller.SetReadDeadline(time.Time{})
 	}
-	if b.call.stay != nil {
-		b.call.stay.Sent(time.Now())
+	if b.call.tracker != nil {
+		b.call.tracker.Sent(time.Now())
 	}
 }
 
-// stop ends a read that waits. The caller's link cannot be used again.
-func (b *body) stop() {
+// interrupt ends a pending read. The caller's connection cannot be reused.
+func (b *body) interrupt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ended || b.interrupt {
+	if b.ended || b.interrupted {
 		return
 	}
-	b.interrupt = true
-	_ = b.call.control.SetReadDeadline(time.Unix(1, 0))
+	b.interrupted = true
+	_ = b.call.controller.SetReadDeadline(time.Unix(1, 0))
 }
 
-// end is called when the request is over. The server reads the rest of a body
-// before it answers, which must not take long.
+// end is called when the request is over. The server reads the rest of an
+// unread body before it responds; lingerTimeout bounds how long that takes.
 func (b *body) end() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.ended && !b.interrupt {
-		_ = b.call.control.SetReadDeadline(time.Now().Add(lingerLimit))
+	if !b.ended && !b.interrupted {
+		_ = b.call.controller.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
 }
 
@@ -200,13 +201,13 @@
 	return err
 }
 
-// bodyProblem is the outcome of a request whose body could not be read.
+// bodyProblem returns the outcome of a request whose body could not be read.
 func (c *call) bodyProblem(kind outcome.Kind, err error) *outcome.Problem {
 	if errors.Is(err, errBodyTooLarge) {
 		return outcome.New(kind, outcome.BodyTooLarge, err.Error())
 	}
-	if c.clock.cause() == errDeadline {
-		return outcome.New(kind, outcome.DeadlineExceeded, "the body did not come in time")
+	if c.ctx.cause() == errDeadline {
+		return outcome.New(kind, outcome.DeadlineExceeded, "request body not received before the deadline")
 	}
-	return outcome.New(kind, outcome.BodyCut, "the body did not come whole: "+err.Error())
+	return outcome.New(kind, outcome.BodyCut, "request body is incomplete: "+err.Error())
 }
--- a/entry/caller/call.go
+++ b/entry/caller/call.go
@@ -18,75 +18,78 @@
 )
 
 var (
-	panics  = metrics.GetOrCreateCounter("snipebeam_handler_panics_total")
-	retries = metrics.GetOrCreateCounter("snipebeam_retries_total")
-	cuts    = metrics.GetOrCreateCounter("snipebeam_answers_cut_total")
-	refused = metrics.GetOrCreateCounter("snipebeam_door_refusals_total")
+	panics             = metrics.GetOrCreateCounter("snipebeam_handler_panics_total")
+	retries            = metrics.GetOrCreateCounter("snipebeam_retries_total")
+	truncatedResponses = metrics.GetOrCreateCounter("snipebeam_answers_cut_total")
+	inFlightRefusals   = metrics.GetOrCreateCounter("snipebeam_door_refusals_total")
 )
 
-// call is one request on its way through the handler.
+// call is one request in the handler.
 type call struct {
-	id          string
-	dialect     *Dialect
-	service     string
-	caller      string
-	version     uint64
-	rule        *rule.Rule
-	stay        *backlog.Stay
-	w           http.ResponseWriter
-	control     *http.ResponseController
-	r           *http.Request
-	body        *body
-	clock       *clock
-	aim         time.Time // by which an answer is worth most, zero if not known
-	progress    time.Duration
-	layer       int // attempt that the layer above made, 1 for its first
-	fingerprint poison.Fingerprint
-	dispatched  bool // a byte may have gone to an instance that may have started
-	sent        bool // the head of the answer went out
-	gone        bool // the caller takes no more
-	decision    decision.Decision
+	id              string
+	dialect         *Dialect
+	service         string
+	caller          string
+	version         uint64
+	rule            *rule.Rule
+	tracker         *backlog.Stay // tracks the request in the backlog
+	w               http.ResponseWriter
+	controller      *http.ResponseController
+	r               *http.Request
+	body            *body
+	ctx             *deadlineContext
+	aim             time.Time // by which the rule aims to respond, zero for no aim
+	progressTimeout time.Duration
+	incomingAttempt int // number of the attempt by the layer above, 1 for the first
+	fingerprint     poison.Fingerprint
+	dispatched      bool // a byte may have reached an instance that may have started
+	headerSent      bool // of the response, to the caller
+	callerGone      bool // a write to the caller failed
+	decision        decision.Decision
 }
 
-func newCall(w http.ResponseWriter, r *http.Request, limits Limits, speaks *Dialect) *call {
+func newCall(w http.ResponseWriter, r *http.Request, limits Limits, dialect *Dialect) *call {
 	return &call{
-		id: idOf(r, speaks), dialect: speaks, service: serviceOf(r, speaks), caller: callerOf(r, speaks), w: w, control: http.NewResponseController(w), r: r,
-		layer: layerOf(r, speaks), progress: limits.ProgressTimeout,
+		id: idOf(r, dialect), dialect: dialect, service: serviceOf(r, dialect), caller: callerOf(r, dialect), w: w, controller: http.NewResponseController(w), r: r,
+		incomingAttempt: incomingAttemptOf(r, dialect), progressTimeout: limits.ProgressTimeout,
 	}
 }
 
-// idBytes is the length of a decision's id.
+// idBytes is the length of a generated decision ID before encoding.
 const idBytes = 16
 
 func newID() string {
 	var raw [idBytes]byte
 	for n := 0; n < idBytes; n += 8 {
-		word := rand.Uint64()
+		random := rand.Uint64()
 		for k := range 8 {
-			raw[n+k] = byte(word >> (8 * k))
+			raw[n+k] = byte(random >> (8 * k))
 		}
 	}
 	return hex.EncodeToString(raw[:])
 }
 
-// maxIDBytes bounds an identity that a caller gave.
+// maxIDBytes bounds a request ID that the caller sent.
 const maxIDBytes = 128
 
-// idOf returns the identity that the caller gave, or a new one.
-func idOf(r *http.Request, speaks *Dialect) string {
-	if id := header(r.Header, speaks.RequestID); id != "" && len(id) <= maxIDBytes {
+// idOf returns the request ID that the caller sent, or a new one.
+func idOf(r *http.Request, dialect *Dialect) string {
+	if id := header(r.Header, dialect.RequestID); id != "" && len(id) <= maxIDBytes {
 		return id
 	}
 	return newID()
 }
 
-// allowWrite gives the caller time to take the next part of the answer. A
-// connection without deadlines cannot be bounded.
-func (c *call) allowWrite() { _ = c.control.SetWriteDeadline(time.Now().Add(c.progress)) }
+// extendWriteDeadline gives the caller progressTimeout to read the next part of
+// the response. It has no effect on a connection without write deadlines.
+func (c *call) extendWriteDeadline() {
+	_ = c.controller.SetWriteDeadline(time.Now().Add(c.progressTimeout))
+}
 
-// problem tells why the context of the call ended, or gives the other reason.
+// problem returns an outcome. If the context of the call has ended, its cause
+// replaces the given reason.
 func (c *call) problem(kind outcome.Kind, reason outcome.Reason, detail string) *outcome.Problem {
-	switch c.clock.cause() {
+	switch c.ctx.cause() {
 	case errDeadline:
 		reason = outcome.DeadlineExceeded
 	case errCallerGone:
@@ -95,10 +98,10 @@
 	return outcome.New(kind, reason, detail)
 }
 
-// serviceOf names the service that a request is for: by header, else by the
-// first label of the host.
-func serviceOf(r *http.Request, speaks *Dialect) string {
-	if name := header(r.Header, speaks.Service); name != "" {
+// serviceOf returns the service that a request names by header, else by the
+// first label of its host.
+func serviceOf(r *http.Request, dialect *Dialect) string {
+	if name := header(r.Header, dialect.Service); name != "" {
 		return name
 	}
 	name, _, _ := strings.Cut(r.Host, ".")
@@ -106,17 +109,18 @@
 	return name
 }
 
-func callerOf(r *http.Request, speaks *Dialect) string {
-	if name := header(r.Header, speaks.Caller); name != "" {
+func callerOf(r *http.Request, dialect *Dialect) string {
+	if name := header(r.Header, dialect.Caller); name != "" {
 		return name
 	}
 	address, _, _ := net.SplitHostPort(r.RemoteAddr)
 	return address
 }
 
-// layerOf returns the attempt of the layer above that the request is.
-func layerOf(r *http.Request, speaks *Dialect) int {
-	n, err := strconv.Atoi(header(r.Header, speaks.Attempt))
+// incomingAttemptOf returns the attempt number that the layer above sent, 1 if
+// it sent none.
+func incomingAttemptOf(r *http.Request, dialect *Dialect) int {
+	n, err := strconv.Atoi(header(r.Header, dialect.Attempt))
 	if err != nil || n < 1 {
 		return 1
 	}
--- /dev/null
+++ b/entry/caller/deadline.go
@@ -0,0 +1,127 @@
+package caller
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/snipebeam/snipebeam/world/contract"
+)
+
+var (
+	errDeadline   = errors.New("deadline exceeded")
+	errCallerGone = errors.New("caller disconnected")
+)
+
+// deadlineContext is the context of a call up to the first byte of the
+// response. The rule's deadline runs from the last byte of the request, so that
+// a slow upload does not use it up; the caller's deadline and the rule's
+// timeout run from arrival.
+type deadlineContext struct {
+	context.Context // ends at the deadline, or when the caller disconnects unless detached
+	cancel          context.CancelCauseFunc
+	stopWatch       func() bool   // stops watching for the caller's disconnect
+	ruleDeadline    time.Duration // from the last byte of the request
+	callerTimeout   time.Duration // sent by the caller, 0 for none
+	arrivalDeadline time.Time     // earlier of the caller's deadline and the rule's timeout, zero for none
+
+	mu       sync.Mutex
+	deadline time.Time // zero for none while the rule's deadline is suspended
+	timer    *time.Timer
+	disarmed bool // no deadline applies any more
+}
+
+func newDeadlineContext(r *http.Request, terms *contract.Contract, deadlineHeader string) *deadlineContext {
+	ruleDeadline := terms.Deadline()
+	c := &deadlineContext{ruleDeadline: ruleDeadline}
+	now := time.Now()
+	if ms, err := strconv.ParseInt(header(r.Header, deadlineHeader), 10, 32); err == nil && ms > 0 {
+		c.callerTimeout = time.Duration(ms) * time.Millisecond
+		c.arrivalDeadline = now.Add(c.callerTimeout)
+	}
+	if timeout := terms.Timeout(); timeout > 0 && (c.arrivalDeadline.IsZero() || now.Add(timeout).Before(c.arrivalDeadline)) {
+		c.arrivalDeadline = now.Add(timeout)
+	}
+	c.Context, c.cancel = context.WithCancelCause(context.WithoutCancel(r.Context()))
+	c.stopWatch = context.AfterFunc(r.Context(), func() { c.cancel(errCallerGone) })
+	c.deadline = c.earliest(now.Add(ruleDeadline))
+	c.timer = time.AfterFunc(c.deadline.Sub(now), c.expire)
+	return c
+}
+
+// earliest returns the earlier of a time, zero for none, and the deadline that
+// runs from arrival.
+func (c *deadlineContext) earliest(at time.Time) time.Time {
+	if at.IsZero() || !c.arrivalDeadline.IsZero() && c.arrivalDeadline.Before(at) {
+		return c.arrivalDeadline
+	}
+	return at
+}
+
+// expire ends the context, or rearms the timer if the deadline was moved.
+func (c *deadlineContext) expire() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch left := time.Until(c.deadline); {
+	case c.deadline.IsZero():
+	case left > 0:
+		c.timer.Reset(left)
+	default:
+		c.cancel(errDeadline)
+	}
+}
+
+// suspend stops the rule's deadline while the request is being received.
+func (c *deadlineContext) suspend() { c.reset(time.Time{}) }
+
+// start starts the rule's deadline once the whole request has been received.
+func (c *deadlineContext) start() { c.reset(time.Now().Add(c.ruleDeadline)) }
+
+func (c *deadlineContext) reset(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deadline = c.earliest(at)
+	if c.deadline.IsZero() || c.disarmed {
+		c.timer.Stop()
+		return
+	}
+	c.timer.Reset(time.Until(c.deadline))
+}
+
+// Deadline returns the current deadline, which may still move.
+func (c *deadlineContext) Deadline() (time.Time, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deadline, !c.deadline.IsZero()
+}
+
+// remaining returns the time that the next layer may take.
+func (c *deadlineContext) remaining() time.Duration {
+	at, ok := c.Deadline()
+	if !ok {
+		return c.ruleDeadline
+	}
+	return time.Until(at)
+}
+
+// detach keeps the context alive after the caller has disconnected.
+func (c *deadlineContext) detach() { c.stopWatch() }
+
+// disarm lifts the deadline once the response has begun.
+func (c *deadlineContext) disarm() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.disarmed = true
+	c.timer.Stop()
+}
+
+func (c *deadlineContext) cause() error { return context.Cause(c.Context) }
+
+func (c *deadlineContext) stop() {
+	c.stopWatch()
+	c.disarm()
+	c.cancel(context.Canceled)
+}
--- a/entry/caller/dialect.go
+++ b/entry/caller/dialect.go
@@ -8,48 +8,50 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// Dialect is how callers and instances say, in headers, what HTTP itself does
-// not say. An empty name means that nothing is said.
+// Dialect is the set of headers by which callers and instances convey what
+// plain HTTP does not. Its strings are header names; an empty name means that
+// the dialect has no such header.
 type Dialect struct {
 	Service   string // request: the service
-	Caller    string // request: who calls
+	Caller    string // request: the caller
 	Deadline  string // request: time left, milliseconds
-	Attempt   string // request: which attempt it is
-	RequestID string // request: its identity, which answers repeat
-	Instance  string // request to an instance: the one that it is for
+	Attempt   string // request: number of the attempt
+	RequestID string // request: its ID, which responses repeat
+	Instance  string // request to an instance: the ID of that instance
 
-	// Refused reports whether an answer promises that the instance did not
-	// start.
+	// Refused reports whether a response guarantees that the instance did not
+	// start the request.
 	Refused func(status int, h http.Header) bool
-	// Misdirected reports whether an answer says that another instance uses the
+	// Misdirected reports whether a response means that another instance uses the
 	// address; nil: none does.
 	Misdirected func(status int) bool
-	// Load returns what an answer tells of the instance's load.
+	// Load returns the instance's load if a response reports it.
 	Load func(h http.Header) (LoadReport, bool)
-	// Outcomes adds this host's own outcome headers to answers, and reads those
+	// Outcomes adds this host's outcome headers to responses, and interprets those
 	// of a layer below.
 	Outcomes bool
-	// CloseDelimited passes on answers that end with their link, as whole unless the
-	// link was reset.
+	// CloseDelimited accepts responses that are delimited by the close of their
+	// connection, and takes them as complete unless the connection was reset.
 	CloseDelimited bool
-	// WriteProblem writes an outcome other than an answer.
-	WriteProblem func(w http.ResponseWriter, refusal ErrorResponse)
+	// WriteProblem writes an outcome other than an instance's response.
+	WriteProblem func(w http.ResponseWriter, response ErrorResponse)
 }
 
-// LoadReport is what an instance says of its load.
+// LoadReport is the load that an instance reports.
 type LoadReport struct {
 	Requests int     // in slots and waiting
-	Speed    float64 // time that work takes now, as a multiple of the usual; 0 if not told
+	Speed    float64 // current service time as a multiple of the usual one; 0 if not reported
 }
 
-// ErrorResponse is an outcome other than an answer, as a caller is told.
+// ErrorResponse is an outcome other than an instance's response, to be written
+// to the caller.
 type ErrorResponse struct {
 	Problem    *outcome.Problem
-	ID         string        // of the decision, or the request's identity in the dialect
-	RetryAfter time.Duration // 0: the reason's own advice
+	ID         string        // of the decision, or the request ID of the dialect
+	RetryAfter time.Duration // 0: the default of the reason
 }
 
-// native is the dialect of snipebeam's own interface.
+// native is snipebeam's own dialect.
 var native = Dialect{
 	Service: ServiceHeader, Caller: CallerHeader, Deadline: DeadlineHeader, Attempt: AttemptHeader, Outcomes: true,
 	Refused: func(_ int, h http.Header) bool { return h.Get(RefusedHeader) != "" },
@@ -57,10 +59,10 @@
 		n, err := strconv.Atoi(h.Get(LoadHeader))
 		return LoadReport{Requests: n}, err == nil && n >= 0
 	},
-	WriteProblem: func(w http.ResponseWriter, refusal ErrorResponse) { refusal.Problem.Write(w, refusal.ID) },
+	WriteProblem: func(w http.ResponseWriter, response ErrorResponse) { response.Problem.Write(w, response.ID) },
 }
 
-// header returns the value of a header that the dialect may not have.
+// header returns the value of a header, or "" if the dialect has no such header.
 func header(h http.Header, name string) string {
 	if name == "" {
 		return ""
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -1,14 +1,15 @@
-// Package caller takes requests from callers, sends each to an instance and
-// streams the answer back.
+// Package caller handles requests from callers: it forwards each to an instance
+// and streams the response back.
 //
-// Each request ends with exactly one outcome. An answer is passed on as it
-// comes, and the caller's link is aborted if it is cut. "Not run" is told only
-// if no byte of the request went to an instance in any attempt, or if the
-// instance promised that it did not start. Everything else is unknown.
+// Each request ends with exactly one outcome. A response is streamed as it is
+// received, and the caller's connection is aborted if the response is truncated.
+// "Not run" is reported only if no byte of the request was sent to an instance
+// in any attempt, or if the instance guaranteed that it did not start. Every
+// other outcome is unknown.
 //
 // Usage:
 //
-//	handler := caller.New(caller.Parts{Table: table, Router: router, ...})
+//	handler := caller.New(caller.Config{Table: table, Router: router, ...})
 //	http.Serve(listener, handler)
 package caller
 
@@ -34,21 +35,21 @@
 	"github.com/snipebeam/snipebeam/world/rule"
 )
 
-// Acquirer gives out instances for attempts.
+// Acquirer selects and reserves instances for attempts.
 type Acquirer interface {
 	Acquire(ctx context.Context, q route.Query) (*route.Ticket, error)
-	// Try is Acquire without waiting; nil: there is no instance to spare.
+	// Try is Acquire without waiting; nil: no instance has spare capacity.
 	Try(q route.Query) *route.Ticket
-	// HedgeDelay is the time after which an answer is late, 0 if unknown.
+	// HedgeDelay returns the time after which a response is late, 0 if unknown.
 	HedgeDelay(service string, aim time.Duration) time.Duration
 }
 
-// RetryBudget says whether a service may have one more retry now.
+// RetryBudget limits retries by service.
 type RetryBudget interface {
 	AllowRetry(service string) bool
 }
 
-// Config are what a handler works with.
+// Config holds the dependencies and settings of a handler.
 type Config struct {
 	Host      string // this host's name
 	Zone      string
@@ -58,7 +59,7 @@
 	Claims    control.Claimer
 	Settler   *control.Settler
 	Suspects  *poison.Book
-	Budget    RetryBudget // nil: no bound
+	Budget    RetryBudget // nil: no limit
 	Backlog   *backlog.Book
 	Decisions *decision.Log
 	Stopping  *atomic.Bool
@@ -67,53 +68,54 @@
 	Dialect   *Dialect // nil: snipebeam's own
 }
 
-// Limits bound what one request may take.
+// Limits bounds the resources of requests.
 type Limits struct {
-	BodyBytes       int64         // largest request body
-	BufferBytes     int64         // part of a body that is kept for a retry and a fingerprint
-	ProgressTimeout time.Duration // time that a caller may take for ProgressBytes
-	InFlight        int           // requests in the handler, 0 for no bound
+	BodyBytes       int64         // maximum size of a request body
+	BufferBytes     int64         // maximum part of a body that is buffered for a retry and a fingerprint
+	ProgressTimeout time.Duration // for a caller to send ProgressBytes, or to read the next part of a response
+	InFlight        int           // requests in the handler, 0 for no limit
 	ProgressBytes   int
 }
 
-// DefaultLimits returns the limits used where none are given.
+// DefaultLimits returns the limits that apply if Config has none.
 func DefaultLimits() Limits {
 	return Limits{BodyBytes: 4 << 30, BufferBytes: 64 << 10, ProgressTimeout: 30 * time.Second, ProgressBytes: 1 << 10}
 }
 
-// Handler serves callers.
+// Handler is an http.Handler that serves callers.
 type Handler struct {
-	parts  Config
-	holder string // unique to this process start
-	door   *door
-	turns  turns
-	waits  waits
+	cfg      Config
+	holder   string // of claims, unique to this process
+	inFlight *inFlightLimiter
+	shares   weightedRoundRobin
+	timeouts callerTimeouts
 }
 
-// New returns a handler.
-func New(parts Config) *Handler {
-	if parts.Limits == (Limits{}) {
-		parts.Limits = DefaultLimits()
+// New returns a handler. Limits, Dialect, Logger, Suspects and Settler have
+// defaults.
+func New(cfg Config) *Handler {
+	if cfg.Limits == (Limits{}) {
+		cfg.Limits = DefaultLimits()
 	}
-	if parts.Dialect == nil {
-		parts.Dialect = &native
+	if cfg.Dialect == nil {
+		cfg.Dialect = &native
 	}
-	if parts.Logger == nil {
-		parts.Logger = hclog.NewNullLogger()
+	if cfg.Logger == nil {
+		cfg.Logger = hclog.NewNullLogger()
 	}
-	if parts.Suspects == nil {
-		parts.Suspects = poison.NewBook()
+	if cfg.Suspects == nil {
+		cfg.Suspects = poison.NewBook()
 	}
-	if parts.Settler == nil {
-		parts.Settler = control.NewSettler(parts.Claims)
+	if cfg.Settler == nil {
+		cfg.Settler = control.NewSettler(cfg.Claims)
 	}
-	return &Handler{parts: parts, holder: parts.Host + "/" + uuid.NewString(), door: newDoor(parts.Limits.InFlight)}
+	return &Handler{cfg: cfg, holder: cfg.Host + "/" + uuid.NewString(), inFlight: newInFlightLimiter(cfg.Limits.InFlight)}
 }
 
 // ServeHTTP handles one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := newCall(w, r, h.parts.Limits, h.parts.Dialect)
-	if h.parts.Stopping.Load() {
+	c := newCall(w, r, h.cfg.Limits, h.cfg.Dialect)
+	if h.cfg.Stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	defer h.recover(c)
@@ -121,10 +123,10 @@
 		h.fail(c, problem)
 		return
 	}
-	defer h.door.leave(c.caller)
-	c.stay = h.parts.Backlog.Arrive(c.service, time.Now())
+	defer h.inFlight.release(c.caller)
+	c.tracker = h.cfg.Backlog.Arrive(c.service, time.Now())
 	failed := true
-	defer func() { c.stay.End(failed, time.Now()) }()
+	defer func() { c.tracker.End(failed, time.Now()) }()
 	problem := h.run(c)
 	failed = problem != nil
 	if problem != nil {
@@ -132,8 +134,8 @@
 	}
 }
 
-// recover ends a request whose handling panicked. An abort goes on to the
-// server, which closes the caller's link.
+// recover ends a request whose handler panicked. http.ErrAbortHandler is
+// re-raised for the server, which closes the caller's connection.
 func (h *Handler) recover(c *call) {
 	value := recover()
 	if value == nil {
@@ -143,7 +145,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	panics.Inc()
-	h.parts.Logger.Error("request handler panicked", "id", c.id, "service", c.service, "panic", value, "stack", string(debug.Stack()))
+	h.cfg.Logger.Error("request handler panicked", "id", c.id, "service", c.service, "panic", value, "stack", string(debug.Stack()))
 	kind := outcome.NotRun
 	if c.dispatched {
 		kind = outcome.Unknown
@@ -151,27 +153,28 @@
 	h.fail(c, outcome.New(kind, outcome.Internal, "the request could not be handled"))
 }
 
-// admit finds the request's rule and checks what can be checked at once.
+// admit matches the request to its rule, makes the checks that need no body, and
+// counts the request against the in-flight limit.
 func (h *Handler) admit(c *call) *outcome.Problem {
 	if problem := h.match(c); problem != nil {
 		return problem
 	}
-	if problem := refuseForm(c.r); problem != nil {
+	if problem := refuseUnsupported(c.r); problem != nil {
 		return problem
 	}
-	if most := h.bodyLimit(c); c.r.ContentLength > most {
-		return outcome.New(outcome.NotRun, outcome.BodyTooLarge, "the body is larger than "+strconv.FormatInt(most, 10)+" bytes")
+	if limit := h.bodyLimit(c); c.r.ContentLength > limit {
+		return outcome.New(outcome.NotRun, outcome.BodyTooLarge, "request body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	}
-	if !h.door.enter(c.caller) {
-		return outcome.New(outcome.NotRun, outcome.Overload, "this host has as many requests as it takes")
+	if !h.inFlight.acquire(c.caller) {
+		return outcome.New(outcome.NotRun, outcome.Overload, "in-flight limit of this host reached")
 	}
 	return nil
 }
 
 func (h *Handler) match(c *call) *outcome.Problem {
-	inForce := h.parts.Table.Current()
+	inForce := h.cfg.Table.Current()
 	c.version = inForce.Number()
-	if !h.parts.Table.Learned() {
+	if !h.cfg.Table.Learned() {
 		return outcome.New(outcome.NotRun, outcome.NotReady, "this host has not learned the rules in force yet")
 	}
 	if host := rule.HostOf(c.r); inForce.Set().HasHost(host) {
@@ -187,74 +190,75 @@
 	return nil
 }
 
-// matchHost finds the rule of a request that names no service, and the service
-// that its turn falls on.
+// matchHost finds the rule of a request by its host name, and picks one of the
+// rule's services by weight.
 func (h *Handler) matchHost(c *call, set *rule.Set, host string) *outcome.Problem {
 	c.service = ""
 	c.rule = set.At(host, c.r.URL.EscapedPath())
 	if c.rule == nil {
 		return outcome.New(outcome.NotRun, outcome.NoRule, "no rule of "+host+" matches "+c.r.URL.Path)
 	}
-	c.service = h.turns.service(c.rule)
+	c.service = h.shares.pick(c.rule)
 	return nil
 }
 
-// bodyLimit returns the largest body that the request may have.
+// bodyLimit returns the limit on the size of the request's body.
 func (h *Handler) bodyLimit(c *call) int64 {
-	if most := c.rule.Contract().MaxBody(); most > 0 {
-		return min(most, h.parts.Limits.BodyBytes)
+	if limit := c.rule.Contract().MaxBody(); limit > 0 {
+		return min(limit, h.cfg.Limits.BodyBytes)
 	}
-	return h.parts.Limits.BodyBytes
+	return h.cfg.Limits.BodyBytes
 }
 
-// run returns nil once an answer was sent to the caller.
+// run handles an admitted request. It returns nil if a response was sent to the
+// caller.
 func (h *Handler) run(c *call) *outcome.Problem {
 	terms := c.rule.Contract()
-	c.clock = newClock(c.r, terms, c.dialect.Deadline)
-	defer c.clock.stop()
-	c.aim = h.waits.aim(c.rule, c.clock.given, time.Now())
+	c.ctx = newDeadlineContext(c.r, terms, c.dialect.Deadline)
+	defer c.ctx.stop()
+	c.aim = h.timeouts.aim(c.rule, c.ctx.callerTimeout, time.Now())
 	if terms.Once() && c.r.Header.Get(terms.OnceHeader()) == "" {
-		return outcome.New(outcome.NotRun, outcome.KeyMissing, "the rule asks for the header "+terms.OnceHeader())
+		return outcome.New(outcome.NotRun, outcome.KeyMissing, "the rule requires the header "+terms.OnceHeader())
 	}
-	c.body = newBody(c, h.bodyLimit(c), h.parts.Limits)
+	c.body = newBody(c, h.bodyLimit(c), h.cfg.Limits)
 	defer c.body.end()
 	if err := c.body.buffer(terms.Once()); err != nil {
 		return c.bodyProblem(outcome.NotRun, err)
 	}
-	c.fingerprint = h.poisonPrint(c)
-	if until, refused := h.parts.Suspects.Refused(c.fingerprint, time.Now()); refused {
-		return outcome.New(outcome.NotRun, outcome.Poison, "instances were lost while they ran this request; it is refused until "+until.UTC().Format(time.RFC3339))
+	c.fingerprint = h.poisonFingerprint(c)
+	if until, refused := h.cfg.Suspects.Refused(c.fingerprint, time.Now()); refused {
+		return outcome.New(outcome.NotRun, outcome.Poison, "instances failed while running this request; it is refused until "+until.UTC().Format(time.RFC3339))
 	}
 	if terms.Once() {
-		return h.runOnce(c)
+		return h.runAtMostOnce(c)
 	}
 	if terms.Finish() {
-		c.clock.detach()
+		c.ctx.detach()
 	}
-	return h.tries(c, nil)
+	return h.sendWithRetries(c, nil)
 }
 
 func (h *Handler) fail(c *call, problem *outcome.Problem) {
 	c.decision.Problem, c.decision.Detail = string(problem.Reason()), problem.Detail()
 	c.decision.Status = problem.Status()
-	h.write(c, string(problem.Kind()))
-	if c.sent {
+	h.logDecision(c, string(problem.Kind()))
+	if c.headerSent {
 		panic(http.ErrAbortHandler)
 	}
 	if c.body == nil && c.r.ContentLength != 0 {
-		_ = c.control.SetReadDeadline(time.Now().Add(lingerLimit))
+		_ = c.controller.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
-	c.allowWrite()
+	c.extendWriteDeadline()
 	c.dialect.WriteProblem(c.w, ErrorResponse{Problem: problem, ID: c.id})
 }
 
-func (h *Handler) write(c *call, result string) {
+func (h *Handler) logDecision(c *call, result string) {
 	d := c.decision
 	d.ID, d.Kind, d.At, d.Service, d.Caller = c.id, decision.Route, time.Now(), c.service, c.caller
 	d.Method, d.Path, d.Version, d.Outcome = c.r.Method, c.r.URL.Path, c.version, result
 	if c.rule != nil {
 		d.Rule = c.rule.Place().String()
 	}
-	d.Host = h.parts.Host
-	h.parts.Decisions.Write(&d)
+	d.Host = h.cfg.Host
+	h.cfg.Decisions.Write(&d)
 }
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -45,34 +45,34 @@
 route shop POST: deadline 5s # Marie: not repeated
 `
 
-// entryHost is one handler with its parts.
+// entryHost is one handler with its dependencies.
 type entryHost struct {
 	handler  *caller.Handler
-	book     *backlog.Book
-	links    *upstream.Pool
+	backlog  *backlog.Book
+	pool     *upstream.Pool
 	settler  *control.Settler
 	suspects *poison.Book
 	stopping atomic.Bool
 }
 
-type parts func(p *caller.Config)
+type option func(cfg *caller.Config)
 
-func newEntry(t testing.TB, views *route.Views, claims control.Claimer, opts ...parts) *entryHost {
+func newEntry(t testing.TB, views *route.Views, claims control.Claimer, opts ...option) *entryHost {
 	t.Helper()
 	table := rules.NewTable()
 	_, err := table.Advance(&wire.Version{Number: 1}, ruleText)
 	must.NoError(t, err)
 	table.Confirm(1, time.Now())
-	e := &entryHost{book: backlog.NewBook(), links: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewBook()}
-	p := caller.Config{
-		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Pool: e.links, Claims: claims,
-		Settler: e.settler, Suspects: e.suspects, Backlog: e.book, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
+	e := &entryHost{backlog: backlog.NewBook(), pool: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewBook()}
+	cfg := caller.Config{
+		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Pool: e.pool, Claims: claims,
+		Settler: e.settler, Suspects: e.suspects, Backlog: e.backlog, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
 	}
 	for _, opt := range opts {
-		opt(&p)
+		opt(&cfg)
 	}
-	e.links, e.suspects = p.Pool, p.Suspects
-	e.handler = caller.New(p)
+	e.pool, e.suspects = cfg.Pool, cfg.Suspects
+	e.handler = caller.New(cfg)
 	return e
 }
 
@@ -90,7 +90,7 @@
 	return views
 }
 
-// serveEntry runs an entry host on loopback in front of instances.
+// serveEntry serves an entry host on loopback and returns its address.
 func serveEntry(t *testing.T, e *entryHost) string {
 	t.Helper()
 	server := httptest.NewServer(e.handler)
@@ -98,7 +98,7 @@
 	return server.Listener.Addr().String()
 }
 
-// rawInstance answers each connection by a script.
+// rawInstance serves each connection by a script.
 func rawInstance(t *testing.T, script func(conn net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -174,7 +174,8 @@
 	return got
 }
 
-// raw sends bytes to a host and returns everything that comes back.
+// raw sends bytes to a host and returns everything received until the
+// connection closes.
 func raw(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -188,13 +189,13 @@
 
 var errClaims = errors.New("no control host answers")
 
-// fakeClaims is a control group in memory, with tombstones of releases, whose
-// answers can be lost.
+// fakeClaims is an in-memory control group that keeps tombstones of releases
+// and can lose requests and responses.
 type fakeClaims struct {
 	mu       sync.Mutex
 	claims   map[string]*fakeClaim
 	released map[string]bool
-	fault    func(step string) (before, after bool) // lose the call, lose its answer
+	fault    func(step string) (before, after bool) // lose the request, lose its response
 }
 
 type fakeClaim struct {
--- a/entry/caller/header.go
+++ b/entry/caller/header.go
@@ -10,7 +10,7 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// Request headers that callers may set, and that are passed on.
+// Request headers that callers may set and that are forwarded.
 const (
 	ServiceHeader  = "Snipebeam-Service"
 	CallerHeader   = "Snipebeam-Caller"
@@ -18,54 +18,55 @@
 	AttemptHeader  = "Snipebeam-Attempt"
 )
 
-// LoadHeader carries an instance's requests in service and waiting on its
-// answers.
+// LoadHeader is a response header with the number of requests that the instance
+// has in service and waiting.
 const LoadHeader = "Snipebeam-Load"
 
-// RefusedHeader on an answer promises that the instance did not start.
+// RefusedHeader is a response header by which an instance guarantees that it did
+// not start the request.
 const RefusedHeader = "Snipebeam-Not-Started"
 
-// hopHeaders bind one link only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-func removeHopHeaders(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 }
 
 func copyHeader(to, from http.Header) {
-	removeHopHeaders(from)
+	removeHopByHopHeaders(from)
 	for name, values := range from {
 		to[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil // keeps the server from guessing one
+		to["Content-Type"] = nil // keeps the server from sniffing one
 	}
 }
 
-// refuseForm refuses requests that this host does not pass on.
-func refuseForm(r *http.Request) *outcome.Problem {
+// refuseUnsupported refuses CONNECT requests and protocol upgrades.
+func refuseUnsupported(r *http.Request) *outcome.Problem {
 	if r.Method == http.MethodConnect {
-		return outcome.New(outcome.NotRun, outcome.UpgradeRefused, "tunnels are not passed on")
+		return outcome.New(outcome.NotRun, outcome.UpgradeRefused, "CONNECT tunnels are not supported")
 	}
 	if r.Header.Get("Upgrade") != "" {
-		return outcome.New(outcome.NotRun, outcome.UpgradeRefused, "a change of protocol is not passed on")
+		return outcome.New(outcome.NotRun, outcome.UpgradeRefused, "protocol upgrades are not supported")
 	}
 	return nil
 }
 
-// outgoing returns the request as it goes to the instance.
+// outgoing returns the request to send to the instance.
 func (c *call) outgoing(attempt int, target instance.ID) *http.Request {
-	out := c.r.WithContext(c.clock)
+	out := c.r.WithContext(c.ctx)
 	out.Header = c.r.Header.Clone()
 	url := *c.r.URL
 	url.Scheme, url.Host = "http", c.r.Host
@@ -73,13 +74,13 @@
 	out.RequestURI = ""
 	out.TransferEncoding = nil
 	out.Close = false
-	removeHopHeaders(out.Header)
+	removeHopByHopHeaders(out.Header)
 	delete(out.Header, "Expect")
-	speaks := c.dialect
-	setHeader(out.Header, speaks.Deadline, strconv.FormatInt(max(c.clock.left().Milliseconds(), 1), 10))
-	setHeader(out.Header, speaks.Attempt, strconv.Itoa(c.layer-1+attempt))
-	setHeader(out.Header, speaks.Caller, c.caller)
-	setHeader(out.Header, speaks.Instance, string(target))
+	dialect := c.dialect
+	setHeader(out.Header, dialect.Deadline, strconv.FormatInt(max(c.ctx.remaining().Milliseconds(), 1), 10))
+	setHeader(out.Header, dialect.Attempt, strconv.Itoa(c.incomingAttempt-1+attempt))
+	setHeader(out.Header, dialect.Caller, c.caller)
+	setHeader(out.Header, dialect.Instance, string(target))
 	out.Body = c.body.open()
 	return out
 }
--- a/entry/caller/hedge.go
+++ b/entry/caller/hedge.go
@@ -17,134 +17,135 @@
 )
 
 // mayHedge reports whether the request may be sent to a second instance while
-// the first one has not answered.
+// the first one has not responded.
 func (h *Handler) mayHedge(c *call) bool {
 	terms := c.rule.Contract()
-	return terms.Hedge() && c.repeatable() && c.body.whole && c.layer == 1
+	return terms.Hedge() && c.repeatable() && c.body.complete && c.incomingAttempt == 1
 }
 
-// sent is what came of one of two exchanges.
-type sent struct {
+// exchangeResult is the result of one of two exchanges.
+type exchangeResult struct {
 	d        *dispatch
 	attempt  int
 	exchange *upstream.Exchange
 	err      error
 }
 
-// good reports whether the answer is worth passing on while another instance
-// may still answer.
-func (s sent) good() bool {
-	return s.err == nil && s.exchange.Response().StatusCode < http.StatusInternalServerError &&
-		!s.d.c.dialect.Refused(s.exchange.Response().StatusCode, s.exchange.Response().Header)
+// acceptable reports whether the response is to be forwarded although another
+// instance may still respond.
+func (r exchangeResult) acceptable() bool {
+	return r.err == nil && r.exchange.Response().StatusCode < http.StatusInternalServerError &&
+		!r.d.c.dialect.Refused(r.exchange.Response().StatusCode, r.exchange.Response().Header)
 }
 
-// race sends the request, and once more if the answer is late. The first good
-// answer is passed on, and the other exchange is cancelled.
-func (h *Handler) race(first *dispatch, attempt int, tried []instance.ID) result {
+// runHedged sends the request, and hedges it if the response is late. The first
+// acceptable response is forwarded, and the other exchange is cancelled.
+func (h *Handler) runHedged(first *dispatch, attempt int, tried []instance.ID) result {
 	c := first.c
-	results := make(chan sent, 2)
+	results := make(chan exchangeResult, 2)
 	first.begin()
-	first.launch(attempt, results)
+	first.sendAsync(attempt, results)
 	defer first.cancel()
 	late := time.NewTimer(h.hedgeDelay(c))
 	defer late.Stop()
 	var second *dispatch
 	for {
 		select {
-		case one := <-results:
+		case arrived := <-results:
 			if second == nil {
-				return one.d.conclude(one.attempt, one.exchange, one.err)
+				return arrived.d.conclude(arrived.attempt, arrived.exchange, arrived.err)
 			}
-			return settle(one, results, first, second)
+			return settle(arrived, results, first, second)
 		case <-late.C:
-			if second = h.second(first, tried); second == nil {
+			if second = h.hedge(first, tried); second == nil {
 				continue
 			}
 			defer second.finish()
 			hedges.Inc()
 			second.begin()
-			second.launch(attempt+1, results)
+			second.sendAsync(attempt+1, results)
 			defer second.cancel()
 		}
 	}
 }
 
-// noHedge is a delay that no request lives to see.
-const noHedge = time.Hour
+// noHedgeDelay is longer than any request lasts.
+const noHedgeDelay = time.Hour
 
 func (h *Handler) hedgeDelay(c *call) time.Duration {
-	if delay := h.parts.Router.HedgeDelay(c.service, c.rule.Contract().Aim()); delay > 0 {
+	if delay := h.cfg.Router.HedgeDelay(c.service, c.rule.Contract().Aim()); delay > 0 {
 		return delay
 	}
-	return noHedge
+	return noHedgeDelay
 }
 
-// second returns a dispatch to another instance, or nil if there is none to
-// spare or the contract allows no more.
-func (h *Handler) second(first *dispatch, tried []instance.ID) *dispatch {
+// hedge returns a dispatch to another instance, or nil if none has spare
+// capacity or the contract allows no further attempt.
+func (h *Handler) hedge(first *dispatch, tried []instance.ID) *dispatch {
 	c := first.c
-	if most := c.rule.Contract().Attempts(); most > 0 && len(tried)+2 > most {
+	if maxAttempts := c.rule.Contract().Attempts(); maxAttempts > 0 && len(tried)+2 > maxAttempts {
 		return nil
 	}
 	exclude := append(append([]instance.ID{}, tried...), first.target.ID())
-	ticket := h.parts.Router.Try(route.NewQuery(c.service, c.rule.Contract(), c.caller, h.parts.Zone, exclude...))
+	ticket := h.cfg.Router.Try(route.NewQuery(c.service, c.rule.Contract(), c.caller, h.cfg.Zone, exclude...))
 	if ticket == nil {
 		return nil
 	}
-	return &dispatch{h: h, c: c, ticket: ticket, target: ticket.Instance(), seen: first.seen}
+	return &dispatch{h: h, c: c, ticket: ticket, target: ticket.Instance(), recorder: first.recorder}
 }
 
-// launch sends the request beside the calling goroutine.
-func (d *dispatch) launch(attempt int, results chan<- sent) {
-	d.ctx, d.cancel = context.WithCancel(d.c.clock)
+// sendAsync sends the request in a goroutine, with a context of its own.
+func (d *dispatch) sendAsync(attempt int, results chan<- exchangeResult) {
+	d.ctx, d.cancel = context.WithCancel(d.c.ctx)
 	go func() {
 		exchange, err := d.send(attempt)
-		results <- sent{d: d, attempt: attempt, exchange: exchange, err: err}
+		results <- exchangeResult{d: d, attempt: attempt, exchange: exchange, err: err}
 	}()
 }
 
-// settle passes on the first good answer of two exchanges, else the last one.
-func settle(one sent, results <-chan sent, first, second *dispatch) result {
+// settle forwards the first acceptable response of two exchanges, or the last
+// one if neither is acceptable.
+func settle(arrived exchangeResult, results <-chan exchangeResult, first, second *dispatch) result {
 	other := first
-	if one.d == first {
+	if arrived.d == first {
 		other = second
 	}
-	if !one.good() {
+	if !arrived.acceptable() {
 		last := <-results
-		if last.good() {
-			one.discard()
+		if last.acceptable() {
+			arrived.discard()
 			return last.win(first)
 		}
-		one.discard()
+		arrived.discard()
 		return last.d.conclude(last.attempt, last.exchange, last.err)
 	}
 	other.cancel()
 	other.report = route.Report{Beaten: true, Latency: time.Since(other.started)}
 	go func() {
-		if lost := <-results; lost.exchange != nil {
-			lost.exchange.Close()
+		if loser := <-results; loser.exchange != nil {
+			loser.exchange.Close()
 		}
 	}()
-	return one.win(first)
+	return arrived.win(first)
 }
 
-func (s sent) win(first *dispatch) result {
-	if s.d != first {
+func (r exchangeResult) win(first *dispatch) result {
+	if r.d != first {
 		hedgesWon.Inc()
 	}
-	return s.d.conclude(s.attempt, s.exchange, s.err)
+	return r.d.conclude(r.attempt, r.exchange, r.err)
 }
 
-// discard learns from an exchange whose answer is not passed on.
-func (s sent) discard() {
-	s.d.report.Latency = time.Since(s.d.started)
-	s.d.c.dispatched = true
-	if s.err != nil {
-		s.d.lost(s.err)
+// discard reports on an exchange whose response is not forwarded.
+func (r exchangeResult) discard() {
+	r.d.report.Latency = time.Since(r.d.started)
+	r.d.c.dispatched = true
+	if r.err != nil {
+		r.d.exchangeProblem(r.err)
 		return
 	}
-	defer s.exchange.Close()
-	response := s.exchange.Response()
-	s.d.report.Refused = s.d.c.dialect.Refused(response.StatusCode, response.Header)
-	s.d.report.Failed = !s.d.report.Refused
+	defer r.exchange.Close()
+	response := r.exchange.Response()
+	r.d.report.Refused = r.d.c.dialect.Refused(response.StatusCode, response.Header)
+	r.d.report.Failed = !r.d.report.Refused
 }
--- a/entry/caller/hedge_test.go
+++ b/entry/caller/hedge_test.go
@@ -8,18 +8,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// hangs is an instance that answers until it is told to hang, and then keeps
-// each request until it is cancelled.
-type hangs struct {
-	on        atomic.Bool
+// hangingInstance is an instance that responds until hang is set, and then
+// blocks each request until it is cancelled.
+type hangingInstance struct {
+	hang      atomic.Bool
 	ran       atomic.Int32
 	cancelled chan struct{}
 }
 
-func (h *hangs) handle(name string) http.HandlerFunc {
+func (h *hangingInstance) handle(name string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		h.ran.Add(1)
-		if h.on.Load() {
+		if h.hang.Load() {
 			<-r.Context().Done()
 			h.cancelled <- struct{}{}
 			return
@@ -29,13 +29,13 @@
 }
 
 func TestALateRequestIsSentToASecondInstanceAndTheSlowerOneIsCancelled(t *testing.T) {
-	slow := &hangs{cancelled: make(chan struct{}, 1)}
-	quick := &hangs{cancelled: make(chan struct{}, 1)}
+	slow := &hangingInstance{cancelled: make(chan struct{}, 1)}
+	quick := &hangingInstance{cancelled: make(chan struct{}, 1)}
 	entry := serveEntry(t, newEntry(t, viewsOf(httpInstance(t, slow.handle("slow")), httpInstance(t, quick.handle("quick"))), nil))
-	for range 20 { // until the usual time is known
+	for range 20 { // until the usual latency has been measured
 		must.Eq(t, http.StatusOK, call(t, http.MethodGet, entry, "/late/x", "").status)
 	}
-	slow.on.Store(true)
+	slow.hang.Store(true)
 	before := slow.ran.Load()
 	for slow.ran.Load() == before {
 		must.Eq(t, "quick", call(t, http.MethodGet, entry, "/late/x", "").body)
@@ -44,12 +44,12 @@
 }
 
 func TestOnlyRulesThatAllowItAreSentTwice(t *testing.T) {
-	slow := &hangs{cancelled: make(chan struct{}, 10)}
+	slow := &hangingInstance{cancelled: make(chan struct{}, 10)}
 	entry := serveEntry(t, newEntry(t, viewsOf(httpInstance(t, slow.handle("slow"))), nil))
 	for range 20 {
 		must.Eq(t, http.StatusOK, call(t, http.MethodPost, entry, "/late/x", "").status)
 	}
-	slow.on.Store(true)
+	slow.hang.Store(true)
 	before := slow.ran.Load()
 	got := call(t, http.MethodPost, entry, "/late/x", "", "Snipebeam-Deadline-Ms", "300")
 	must.Eq(t, http.StatusGatewayTimeout, got.status)
--- a/entry/caller/host_test.go
+++ b/entry/caller/host_test.go
@@ -19,8 +19,9 @@
 route shop=3,trial=1 at a.example /x/: deadline 5s, single # Marie: why
 `
 
-// forHosts serves rules of hosts, with one instance a service.
-func forHosts(t *testing.T, instances map[string]string) string {
+// serveHostRules serves rules that match by host name, with one instance per
+// service.
+func serveHostRules(t *testing.T, instances map[string]string) string {
 	table := rules.NewTable()
 	_, err := table.Advance(&wire.Version{Number: 1}, hostRules)
 	must.NoError(t, err)
@@ -30,12 +31,12 @@
 		all[service] = route.NewView(service, []route.Member{route.NewMember(instance.New(instance.ID(service), service, address), &route.Load{})})
 	}
 	views.Store(all)
-	return serveEntry(t, newEntry(t, views, nil, func(p *caller.Config) {
-		p.Table, p.Router = table, route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table)))
+	return serveEntry(t, newEntry(t, views, nil, func(cfg *caller.Config) {
+		cfg.Table, cfg.Router = table, route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table)))
 	}))
 }
 
-func toHost(t *testing.T, entry, path string) reply {
+func callHost(t *testing.T, entry, path string) reply {
 	req := newRequest(t, http.MethodGet, entry, path, "")
 	req.Host = "a.example:80"
 	got, err := do(req)
@@ -53,20 +54,20 @@
 			got[service]++
 		})
 	}
-	entry := forHosts(t, map[string]string{"shop": count("shop"), "trial": count("trial")})
+	entry := serveHostRules(t, map[string]string{"shop": count("shop"), "trial": count("trial")})
 	for range 40 {
-		must.Eq(t, http.StatusOK, toHost(t, entry, "/x/7").status)
+		must.Eq(t, http.StatusOK, callHost(t, entry, "/x/7").status)
 	}
 	must.Eq(t, map[string]int{"shop": 30, "trial": 10}, got)
-	must.Eq(t, outcome.NoRule, toHost(t, entry, "/x").reason())
+	must.Eq(t, outcome.NoRule, callHost(t, entry, "/x").reason())
 }
 
-func TestAServiceWithoutRoomDoesNotPassItsShareOn(t *testing.T) {
+func TestAServiceWithoutInstancesDoesNotPassItsShareOn(t *testing.T) {
 	ok := httpInstance(t, func(http.ResponseWriter, *http.Request) {})
-	entry := forHosts(t, map[string]string{"shop": ok})
+	entry := serveHostRules(t, map[string]string{"shop": ok})
 	refused := 0
 	for range 40 {
-		if toHost(t, entry, "/x/7").reason() == outcome.NoInstance {
+		if callHost(t, entry, "/x/7").reason() == outcome.NoInstance {
 			refused++
 		}
 	}
--- a/entry/caller/door_test.go
+++ b/entry/caller/limits_test.go
@@ -19,7 +19,7 @@
 	})
 	limits := caller.DefaultLimits()
 	limits.InFlight = 8
-	entry := serveEntry(t, newEntry(t, viewsOf(address), newClaims(), func(p *caller.Config) { p.Limits = limits }))
+	entry := serveEntry(t, newEntry(t, viewsOf(address), newClaims(), func(cfg *caller.Config) { cfg.Limits = limits }))
 	done := make(chan reply, 100)
 	send := func(name string) {
 		go func() {
@@ -27,7 +27,7 @@
 			done <- got
 		}()
 	}
-	for range 4 { // up to half of the host, whoever it is
+	for range 4 { // one caller may use the limit up to half of it
 		send("greedy")
 		<-entered
 	}
@@ -49,7 +49,7 @@
 	must.Eq(t, outcome.Answer, (<-done).outcome())
 }
 
-func TestLinksOfCallersAreBounded(t *testing.T) {
+func TestConnectionsOfCallersAreLimited(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	listener := caller.LimitListener(inner, 2, 0)
@@ -77,7 +77,7 @@
 	_, err = dial().Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
 	must.NoError(t, first.Close())
-	_ = first.Close() // makes room once only
+	_ = first.Close() // must not release the slot twice
 	dial()
 	<-accepted
 	_, err = dial().Read(make([]byte, 1))
--- a/entry/caller/listener.go
+++ b/entry/caller/listener.go
@@ -7,72 +7,72 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-var linksRefused = metrics.GetOrCreateCounter("snipebeam_caller_links_refused_total")
+var connectionsRefused = metrics.GetOrCreateCounter("snipebeam_caller_links_refused_total")
 
-// LimitListener returns a listener that holds at most so many links, and so many of
-// one caller's address; a link beyond is closed before anything is read.
-// A bound of 0 is none.
-func LimitListener(inner net.Listener, most, perCaller int) net.Listener {
-	return &boundListener{Listener: inner, most: most, perCaller: perCaller, callers: map[string]int{}}
+// LimitListener returns a listener that accepts at most maxConns simultaneous
+// connections, and at most maxPerAddress from one remote address; a connection
+// over a limit is closed before anything is read. A limit of 0 means none.
+func LimitListener(inner net.Listener, maxConns, maxPerAddress int) net.Listener {
+	return &limitListener{Listener: inner, maxConns: maxConns, maxPerAddress: maxPerAddress, addresses: map[string]int{}}
 }
 
-type boundListener struct {
+type limitListener struct {
 	net.Listener
-	most      int
-	perCaller int
+	maxConns      int
+	maxPerAddress int
 
-	mu      sync.Mutex
-	total   int
-	callers map[string]int
+	mu        sync.Mutex
+	total     int
+	addresses map[string]int // connections by remote address
 }
 
-// Accept returns the next link within the bounds.
-func (l *boundListener) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limits.
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		host, _, splitErr := net.SplitHostPort(conn.RemoteAddr().String())
+		address, _, splitErr := net.SplitHostPort(conn.RemoteAddr().String())
 		if splitErr != nil {
-			host = conn.RemoteAddr().String()
+			address = conn.RemoteAddr().String()
 		}
-		if l.enter(host) {
-			return &boundConn{Conn: conn, leave: sync.OnceFunc(func() { l.leave(host) })}, nil
+		if l.acquire(address) {
+			return &limitConn{Conn: conn, release: sync.OnceFunc(func() { l.release(address) })}, nil
 		}
-		linksRefused.Inc()
+		connectionsRefused.Inc()
 		_ = conn.Close()
 	}
 }
 
-func (l *boundListener) enter(host string) bool {
+func (l *limitListener) acquire(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.most > 0 && l.total >= l.most || l.perCaller > 0 && l.callers[host] >= l.perCaller {
+	if l.maxConns > 0 && l.total >= l.maxConns || l.maxPerAddress > 0 && l.addresses[address] >= l.maxPerAddress {
 		return false
 	}
 	l.total++
-	l.callers[host]++
+	l.addresses[address]++
 	return true
 }
 
-func (l *boundListener) leave(host string) {
+func (l *limitListener) release(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total--
-	l.callers[host]--
-	if l.callers[host] == 0 {
-		delete(l.callers, host)
+	l.addresses[address]--
+	if l.addresses[address] == 0 {
+		delete(l.addresses, address)
 	}
 }
 
-type boundConn struct {
+type limitConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
-// Close closes the link and makes room for another.
-func (c *boundConn) Close() error {
-	c.leave()
+// Close closes the connection and releases its slot, once.
+func (c *limitConn) Close() error {
+	c.release()
 	return c.Conn.Close()
 }
--- a/entry/caller/once.go
+++ b/entry/caller/once.go
@@ -14,30 +14,32 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Times of claims.
+// Timeout of a claim request, and the exponential backoff between requests for a
+// key that another attempt holds.
 const (
-	claimLimit     = 2 * time.Second
-	firstHeldPause = 20 * time.Millisecond
-	lastHeldPause  = 400 * time.Millisecond
+	claimTimeout    = 2 * time.Second
+	minClaimBackoff = 20 * time.Millisecond
+	maxClaimBackoff = 400 * time.Millisecond
 )
 
-// ofThisAttempt limits what "not run" says about a key.
-const ofThisAttempt = "; this says nothing of an earlier attempt with the key"
+// thisAttemptOnly qualifies "not run" for a request with an idempotency key.
+const thisAttemptOnly = "; this does not cover earlier attempts with the key"
 
-// runOnce runs a request that must run at most once: it dispatches only on a
-// claim that a quorum committed. A claim that was asked for and is not used is
-// released, in the background, until that is acknowledged.
-func (h *Handler) runOnce(c *call) *outcome.Problem {
-	given := c.r.Header.Get(c.rule.Contract().OnceHeader())
+// runAtMostOnce runs a request that must run at most once: it is dispatched only
+// with a claim that a quorum has committed. A claim that was requested and is
+// not used is released; the release is retried in the background until it is
+// acknowledged.
+func (h *Handler) runAtMostOnce(c *call) *outcome.Problem {
+	key := c.r.Header.Get(c.rule.Contract().OnceHeader())
 	req := &wire.ClaimRequest{
-		Key:     &wire.ClaimKey{Service: c.service, Caller: c.caller, IdempotencyKey: given},
-		ClaimId: uuid.NewString(), Holder: h.holder, Fingerprint: claimPrint(c),
+		Key:     &wire.ClaimKey{Service: c.service, Caller: c.caller, IdempotencyKey: key},
+		ClaimId: uuid.NewString(), Holder: h.holder, Fingerprint: claimFingerprint(c),
 	}
 	held := false
-	for step := firstHeldPause; ; step = min(2*step, lastHeldPause) {
-		response, err := h.claim(c.clock, req)
+	for backoff := minClaimBackoff; ; backoff = min(2*backoff, maxClaimBackoff) {
+		response, err := h.claim(c.ctx, req)
 		if err != nil {
-			h.parts.Settler.Release(req)
+			h.cfg.Settler.Release(req)
 			return c.unclaimed(held, err.Error())
 		}
 		switch response.GetState() {
@@ -46,31 +48,31 @@
 		case wire.ClaimState_CLAIM_COMPLETED:
 			return h.replay(c, response.GetAnswer())
 		case wire.ClaimState_CLAIM_MISMATCH:
-			return outcome.New(outcome.NotRun, outcome.KeyReused, "the key was used for another request"+ofThisAttempt)
+			return outcome.New(outcome.NotRun, outcome.KeyReused, "the key was used for another request"+thisAttemptOnly)
 		case wire.ClaimState_CLAIM_HELD:
 			held = true
 		default:
-			return c.unclaimed(held, "the claim was refused: "+response.GetState().String())
+			return c.unclaimed(held, "claim refused: "+response.GetState().String())
 		}
-		if response.GetUnknown() || !pause.For(c.clock, step) {
-			h.parts.Settler.Release(req)
+		if response.GetUnknown() || !pause.For(c.ctx, backoff) {
+			h.cfg.Settler.Release(req)
 			return outcome.New(outcome.Unknown, outcome.ClaimHeld, heldDetail(response))
 		}
 	}
 }
 
-// unclaimed is the outcome of a request whose claim could not be had. An
+// unclaimed returns the outcome of a request that was granted no claim. An
 // earlier attempt that holds the key may have run.
 func (c *call) unclaimed(held bool, detail string) *outcome.Problem {
 	if held {
 		return c.problem(outcome.Unknown, outcome.ClaimHeld, "an earlier attempt with the key may have run; "+detail)
 	}
-	return c.problem(outcome.NotRun, outcome.ClaimUnavailable, detail+ofThisAttempt)
+	return c.problem(outcome.NotRun, outcome.ClaimUnavailable, detail+thisAttemptOnly)
 }
 
 func heldDetail(response *wire.ClaimResponse) string {
 	at := time.Unix(0, response.GetClaimedAt()).UTC().Format(time.RFC3339)
-	detail := "an earlier attempt holds the key since " + at + " at " + response.GetHolder()
+	detail := "an earlier attempt has held the key since " + at + " at " + response.GetHolder()
 	if response.GetUnknown() {
 		return detail + " and its outcome is unknown; an operator can resolve it"
 	}
@@ -78,80 +80,81 @@
 }
 
 func (h *Handler) claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimLimit)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	return h.parts.Claims.Claim(ctx, req)
+	return h.cfg.Claims.Claim(ctx, req)
 }
 
-// dispatchClaimed sends the request and settles the claim, whatever happens
-// on the way. From here on the instance finishes also if the caller goes.
+// dispatchClaimed sends the request and settles the claim, also after a panic.
+// From here on the instance may finish even if the caller disconnects.
 func (h *Handler) dispatchClaimed(c *call, req *wire.ClaimRequest) *outcome.Problem {
-	if c.clock.Err() != nil {
-		h.parts.Settler.Release(req)
-		return c.problem(outcome.NotRun, outcome.CallerGone, "the claim came too late"+ofThisAttempt)
+	if c.ctx.Err() != nil {
+		h.cfg.Settler.Release(req)
+		return c.problem(outcome.NotRun, outcome.CallerGone, "the claim was granted after the request had ended"+thisAttemptOnly)
 	}
-	c.clock.detach()
-	seen := &recorder{}
+	c.ctx.detach()
+	rec := &recorder{}
 	settled := false
 	defer func() {
 		if !settled { // an abort or another panic
-			h.parts.Settler.Complete(req, seen.answer())
+			h.cfg.Settler.Complete(req, rec.stored())
 		}
 	}()
-	problem := h.tries(c, seen)
+	problem := h.sendWithRetries(c, rec)
 	settled = true
 	if problem != nil && problem.Kind() == outcome.NotRun {
-		h.parts.Settler.Release(req)
+		h.cfg.Settler.Release(req)
 		return problem
 	}
-	h.parts.Settler.Complete(req, seen.answer())
+	h.cfg.Settler.Complete(req, rec.stored())
 	return problem
 }
 
-// replay sends a stored answer.
+// replay sends a stored response.
 func (h *Handler) replay(c *call, answer *wire.StoredAnswer) *outcome.Problem {
 	switch {
 	case answer.GetStatus() == 0:
-		return outcome.New(outcome.Unknown, outcome.ClaimHeld, "an earlier attempt may have run; its answer was lost")
+		return outcome.New(outcome.Unknown, outcome.ClaimHeld, "an earlier attempt may have run; its response was lost")
 	case answer.GetCut():
-		return outcome.New(outcome.Unknown, outcome.AnswerLost, "an earlier attempt was answered; its answer was cut on the way")
+		return outcome.New(outcome.Unknown, outcome.AnswerLost, "an earlier attempt ran; its response was truncated")
 	case answer.GetBodyDropped():
-		return outcome.New(outcome.Unknown, outcome.AnswerTooLarge, "the request ran; its answer was too large to keep")
+		return outcome.New(outcome.Unknown, outcome.AnswerTooLarge, "the request ran; its response was too large to store")
 	}
 	header := http.Header{}
-	for _, one := range answer.GetHeaders() {
-		header.Add(one.GetName(), one.GetValue())
+	for _, field := range answer.GetHeaders() {
+		header.Add(field.GetName(), field.GetValue())
 	}
 	copyHeader(c.w.Header(), header)
 	c.w.Header().Set(outcome.Header, string(outcome.Answer))
 	c.w.Header().Set(outcome.DecisionHeader, c.id)
 	c.w.Header().Set(ReplayedHeader, "true")
-	c.allowWrite()
-	c.sent = true
+	c.extendWriteDeadline()
+	c.headerSent = true
 	c.w.WriteHeader(int(answer.GetStatus()))
-	c.deliver(answer.GetBody(), false)
+	c.writeChunk(answer.GetBody(), false)
 	c.decision.Status = int(answer.GetStatus())
-	h.write(c, "replayed")
+	h.logDecision(c, "replayed")
 	return nil
 }
 
-// ReplayedHeader marks a stored answer of an earlier attempt.
+// ReplayedHeader marks the stored response of an earlier attempt.
 const ReplayedHeader = "Snipebeam-Replayed"
 
-// claimPrint is the fingerprint of method, target, length and the kept start
-// of the body.
-func claimPrint(c *call) []byte {
+// claimFingerprint returns the fingerprint of the method, the target, and the
+// length and buffered prefix of the body.
+func claimFingerprint(c *call) []byte {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(c.r.Method + "\x00" + c.r.URL.RequestURI() + "\x00")
 	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, uint64(c.body.length)))
-	_, _ = digest.Write(c.body.start)
+	_, _ = digest.Write(c.body.prefix)
 	return digest.Sum(nil)
 }
 
-// poisonPrint is the fingerprint under which a request that costs instances is
-// known: its rule, its key or else its target, and its body. A body that is
-// not kept whole counts by its length, and only for its own caller.
-func (h *Handler) poisonPrint(c *call) poison.Fingerprint {
+// poisonFingerprint returns the fingerprint that identifies a poison request:
+// its rule, its idempotency key or else its target, and its body. A body that is
+// not buffered in full is identified by its length and buffered prefix, and only
+// among the requests of the same caller.
+func (h *Handler) poisonFingerprint(c *call) poison.Fingerprint {
 	terms := c.rule.Contract()
 	parts := []string{c.service, c.rule.String(), c.r.Method}
 	if terms.Once() {
@@ -159,8 +162,8 @@
 	} else {
 		parts = append(parts, c.r.URL.RequestURI())
 	}
-	if !c.body.whole {
+	if !c.body.complete {
 		parts = append(parts, c.caller)
 	}
-	return poison.Of(c.body.length, c.body.start, parts...)
+	return poison.Of(c.body.length, c.body.prefix, parts...)
 }
--- a/entry/caller/once_test.go
+++ b/entry/caller/once_test.go
@@ -64,8 +64,8 @@
 	other := call(t, http.MethodPost, serveEntry(t, b), "/pay/1", "6", keyHeader, "k", "Snipebeam-Caller", "c")
 	must.Eq(t, outcome.KeyReused, other.reason())
 	must.Eq(t, http.StatusUnprocessableEntity, other.status)
-	stranger := call(t, http.MethodPost, serveEntry(t, b), "/pay/1", "6", keyHeader, "k", "Snipebeam-Caller", "d")
-	must.Eq(t, "paid 6", stranger.body)
+	otherCaller := call(t, http.MethodPost, serveEntry(t, b), "/pay/1", "6", keyHeader, "k", "Snipebeam-Caller", "d")
+	must.Eq(t, "paid 6", otherCaller.body)
 }
 
 func TestDuplicatesAtTwoHostsRunOnce(t *testing.T) {
@@ -89,7 +89,7 @@
 	instance, claims := &counter{}, newClaims()
 	var lost atomic.Bool
 	lost.Store(true)
-	// The claim commits, but its answer and the first releases are lost.
+	// The claim commits, but its response and the first releases are lost.
 	claims.fault = func(step string) (bool, bool) {
 		return lost.Load() && step == "release", lost.Load() && step == "claim"
 	}
@@ -124,7 +124,7 @@
 		w.Header().Set("Snipebeam-Not-Started", "shed")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	dying := rawInstance(t, func(_ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
+	closing := rawInstance(t, func(_ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
 	for name, views := range map[string]*route.Views{"gone": viewsOf(deadAddress(t), address), "shed": viewsOf(shedding, address)} {
 		for n := range 8 {
 			key := name + string(rune('a'+n))
@@ -133,7 +133,7 @@
 			must.Eq(t, 1, good.of(key))
 		}
 	}
-	e := newEntry(t, viewsOf(dying), newClaims())
+	e := newEntry(t, viewsOf(closing), newClaims())
 	entry := serveEntry(t, e)
 	must.Eq(t, outcome.Unknown, call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k").outcome())
 	settle(t, e)
@@ -158,11 +158,11 @@
 }
 
 func TestAnswerIsKeptForACallerThatLeft(t *testing.T) {
-	started, goOn := make(chan struct{}), make(chan struct{})
+	started, proceed := make(chan struct{}), make(chan struct{})
 	instance := &counter{}
 	address := httpInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		close(started)
-		<-goOn
+		<-proceed
 		instance.ServeHTTP(w, r)
 	})
 	e := newEntry(t, viewsOf(address), newClaims())
@@ -173,7 +173,7 @@
 	must.NoError(t, err)
 	<-started
 	must.NoError(t, conn.Close())
-	close(goOn)
+	close(proceed)
 	got := call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k", "Snipebeam-Caller", "c")
 	must.Eq(t, "paid 5", got.body)
 	must.Eq(t, 1, instance.of("k"))
--- a/entry/caller/outcome_test.go
+++ b/entry/caller/outcome_test.go
@@ -63,14 +63,14 @@
 				must.Eq(t, test.kind, got.outcome())
 				must.Eq(t, test.reason, got.reason())
 			}
-			n, _ := e.book.InFlight(time.Now())
+			n, _ := e.backlog.InFlight(time.Now())
 			must.Zero(t, n)
 		})
 	}
 }
 
 func TestNotRunWhereNothingWasSent(t *testing.T) {
-	gone := deadAddress(t)
+	unreachable := deadAddress(t)
 	tests := map[string]struct {
 		method, path, body string
 		header             []string
@@ -86,7 +86,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			e := newEntry(t, viewsOf(gone), newClaims())
+			e := newEntry(t, viewsOf(unreachable), newClaims())
 			got := call(t, test.method, serveEntry(t, e), test.path, test.body, test.header...)
 			must.Eq(t, outcome.NotRun, got.outcome())
 			must.Eq(t, test.reason, got.reason())
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestAnswerComesWholeWithInterimAnswersAndTrailers(t *testing.T) {
+func TestResponseIsForwardedWithInterimResponsesAndTrailers(t *testing.T) {
 	address := httpInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Link", "</a.css>; rel=preload")
 		w.WriteHeader(http.StatusEarlyHints)
@@ -186,12 +186,12 @@
 	must.True(t, response.Close)
 }
 
-func TestPanicEndsTicketAndStayAndIsNoAbort(t *testing.T) {
-	e := newEntry(t, viewsOf(deadAddress(t)), newClaims(), func(p *caller.Config) { p.Pool = nil })
+func TestPanicEndsTicketAndBacklogEntryAndIsNoAbort(t *testing.T) {
+	e := newEntry(t, viewsOf(deadAddress(t)), newClaims(), func(cfg *caller.Config) { cfg.Pool = nil })
 	got := call(t, http.MethodPost, serveEntry(t, e), "/x", "b")
 	must.Eq(t, http.StatusInternalServerError, got.status)
 	must.Eq(t, outcome.Internal, got.reason())
-	n, _ := e.book.InFlight(time.Now())
+	n, _ := e.backlog.InFlight(time.Now())
 	must.Zero(t, n)
 }
 
@@ -219,7 +219,7 @@
 	req.Body = io.NopCloser(strings.NewReader(strings.Repeat("a", 2<<20)))
 	req.ContentLength = -1
 	got, err := do(req)
-	if err == nil { // the caller may see the closed link first
+	if err == nil { // the caller may see the closed connection first
 		must.Eq(t, outcome.BodyTooLarge, got.reason())
 		must.Eq(t, outcome.Unknown, got.outcome())
 	}
--- a/entry/caller/recorder.go
+++ b/entry/caller/recorder.go
@@ -6,20 +6,20 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxStoredBodyBytes bounds the body that is stored with a claim.
+// maxStoredBodyBytes bounds the response body that is stored with a claim.
 const maxStoredBodyBytes = 48 << 10
 
-// recorder keeps a copy of an answer up to a bounded size. A nil recorder
-// keeps nothing.
+// recorder copies a response, with at most maxStoredBodyBytes of body, so that
+// it can be stored with the claim. A nil recorder records nothing.
 type recorder struct {
-	status   int
-	header   http.Header
-	body     []byte
-	overflow bool
-	lost     bool
+	status    int
+	header    http.Header
+	body      []byte
+	overflow  bool
+	truncated bool
 }
 
-func (r *recorder) head(response *http.Response) {
+func (r *recorder) recordHeader(response *http.Response) {
 	if r == nil {
 		return
 	}
@@ -27,8 +27,8 @@
 	r.header = response.Header.Clone()
 }
 
-// keep takes a part of the body.
-func (r *recorder) keep(p []byte) {
+// recordBody appends a part of the body, or drops the body if it is too large.
+func (r *recorder) recordBody(p []byte) {
 	if r == nil || r.overflow {
 		return
 	}
@@ -39,20 +39,20 @@
 	r.body = append(r.body, p...)
 }
 
-// cut records that the answer did not come whole.
-func (r *recorder) cut() {
+// markTruncated records that the response was incomplete, and drops its body.
+func (r *recorder) markTruncated() {
 	if r == nil {
 		return
 	}
-	r.lost, r.overflow, r.body = true, true, nil
+	r.truncated, r.overflow, r.body = true, true, nil
 }
 
-// answer returns the answer as it is stored, nil if there was none.
-func (r *recorder) answer() *wire.StoredAnswer {
+// stored returns the response in its stored form, nil if there was none.
+func (r *recorder) stored() *wire.StoredAnswer {
 	if r.status == 0 {
 		return nil
 	}
-	answer := &wire.StoredAnswer{Status: uint32(r.status), Body: r.body, BodyDropped: r.overflow, Cut: r.lost}
+	answer := &wire.StoredAnswer{Status: uint32(r.status), Body: r.body, BodyDropped: r.overflow, Cut: r.truncated}
 	for name, values := range r.header {
 		for _, value := range values {
 			answer.Headers = append(answer.Headers, &wire.Header{Name: name, Value: value})
--- a/entry/caller/answer.go
+++ b/entry/caller/response.go
@@ -17,32 +17,33 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-func (h *Handler) reachContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), reachLimit)
+func (h *Handler) reachabilityContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), reachabilityTimeout)
 }
 
-// inform passes an interim answer on.
-func (c *call) inform(code int, header http.Header) {
-	if c.sent || c.gone {
+// forwardInterim forwards an interim (1xx) response.
+func (c *call) forwardInterim(code int, header http.Header) {
+	if c.headerSent || c.callerGone {
 		return
 	}
 	h := c.w.Header()
 	before := maps.Clone(h)
-	removeHopHeaders(header)
+	removeHopByHopHeaders(header)
 	maps.Copy(h, header)
-	c.allowWrite()
+	c.extendWriteDeadline()
 	c.w.WriteHeader(code)
 	clear(h)
 	maps.Copy(h, before)
 }
 
-// answer passes the instance's answer on, or says what it means if it is none.
-func (d *dispatch) answer(exchange *upstream.Exchange) result {
+// handleResponse forwards the instance's response, or returns the problem that
+// the response stands for: a refusal, or an outcome of the layer below.
+func (d *dispatch) handleResponse(exchange *upstream.Exchange) result {
 	response, id := exchange.Response(), d.target.ID()
-	d.c.stay.Answering(time.Now())
-	d.c.clock.answered()
+	d.c.tracker.Answering(time.Now())
+	d.c.ctx.disarm()
 	d.report.Failed = response.StatusCode >= http.StatusInternalServerError
-	if report, told := d.c.dialect.Load(response.Header); told {
+	if report, ok := d.c.dialect.Load(response.Header); ok {
 		d.report.Reported, d.report.Speed, d.report.HasReport = report.Requests, report.Speed, true
 	}
 	d.c.decision.Status = response.StatusCode
@@ -52,30 +53,30 @@
 		if misdirected := d.c.dialect.Misdirected; misdirected != nil && misdirected(response.StatusCode) {
 			d.report.Lost = true
 		}
-		return result{problem: d.c.problem(outcome.NotRun, outcome.UpstreamRefused, "the instance refused before it started"), instance: id}
+		return result{problem: d.c.problem(outcome.NotRun, outcome.UpstreamRefused, "the instance refused the request before starting it"), instance: id}
 	}
 	if !d.c.dialect.Outcomes {
-		d.pass(exchange)
+		d.forward(exchange)
 		return result{instance: id}
 	}
 	switch outcome.Kind(response.Header.Get(outcome.Header)) {
 	case outcome.NotRun:
-		return result{problem: d.c.problem(outcome.NotRun, outcome.UpstreamRefused, "the layer below did not run it"), instance: id, final: true}
+		return result{problem: d.c.problem(outcome.NotRun, outcome.UpstreamRefused, "the layer below did not run the request"), instance: id, final: true}
 	case outcome.Unknown:
-		return result{problem: d.c.problem(outcome.Unknown, outcome.UpstreamLost, "the layer below does not know"), instance: id, final: true}
+		return result{problem: d.c.problem(outcome.Unknown, outcome.UpstreamLost, "the layer below reported an unknown outcome"), instance: id, final: true}
 	case outcome.Answer:
 	}
-	d.pass(exchange)
+	d.forward(exchange)
 	return result{instance: id}
 }
 
-// pass sends the answer to the caller. An answer that is cut, or that the
-// caller does not take, ends with an abort of the caller's link.
-func (d *dispatch) pass(exchange *upstream.Exchange) {
+// forward sends the response to the caller. It aborts the caller's connection
+// if the response is truncated or the caller stops reading.
+func (d *dispatch) forward(exchange *upstream.Exchange) {
 	c, response := d.c, exchange.Response()
 	if exchange.Uploading() {
-		// Without it the server would read the upload to its end first.
-		_ = c.control.EnableFullDuplex()
+		// Without full duplex the server reads the whole upload before it responds.
+		_ = c.controller.EnableFullDuplex()
 		c.w.Header().Set("Connection", "close")
 	}
 	connection := c.w.Header()["Connection"]
@@ -87,39 +88,39 @@
 		c.w.Header().Set(outcome.Header, string(outcome.Answer))
 		c.w.Header().Set(outcome.DecisionHeader, c.id)
 	}
-	c.allowWrite()
-	c.sent = true
+	c.extendWriteDeadline()
+	c.headerSent = true
 	c.w.WriteHeader(response.StatusCode)
-	d.seen.head(response)
-	if err := c.stream(exchange, d.seen); err != nil {
+	d.recorder.recordHeader(response)
+	if err := c.streamBody(exchange, d.recorder); err != nil {
 		d.report.Failed = true
-		d.seen.cut()
-		cuts.Inc()
-		d.h.write(c, "cut")
+		d.recorder.markTruncated()
+		truncatedResponses.Inc()
+		d.h.logDecision(c, "cut")
 		panic(http.ErrAbortHandler)
 	}
-	if c.gone {
-		d.h.write(c, "caller-gone")
+	if c.callerGone {
+		d.h.logDecision(c, "caller-gone")
 		panic(http.ErrAbortHandler)
 	}
 	for name, values := range response.Trailer {
 		c.w.Header()[http.TrailerPrefix+name] = values
 	}
-	d.h.write(c, string(outcome.Answer))
+	d.h.logDecision(c, string(outcome.Answer))
 }
 
-// stream copies an answer's body and flushes what has arrived. It returns an
-// error if the body is cut. If the caller has gone it goes on only for a
-// contract that lets the instance finish.
-func (c *call) stream(body io.Reader, seen *recorder) error {
+// streamBody copies a response body to the caller and flushes after each read.
+// It returns an error if the body is truncated. After the caller has
+// disconnected it reads on only if the contract lets the instance finish.
+func (c *call) streamBody(body io.Reader, rec *recorder) error {
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
 	for {
 		n, err := body.Read(buffer[:])
 		if n > 0 {
-			seen.keep(buffer[:n])
-			c.stay.Carried(n, c.rule.Contract().Bulk())
-			c.deliver(buffer[:n], err == nil)
+			rec.recordBody(buffer[:n])
+			c.tracker.Carried(n, c.rule.Contract().Bulk())
+			c.writeChunk(buffer[:n], err == nil)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -127,29 +128,30 @@
 		if err != nil {
 			return err
 		}
-		if c.gone && !c.finishes() {
+		if c.callerGone && !c.survivesDisconnect() {
 			return errCallerGone
 		}
 	}
 }
 
-// deliver writes a part of the answer to the caller.
-func (c *call) deliver(part []byte, flush bool) {
-	if c.gone {
+// writeChunk writes a part of the response body to the caller.
+func (c *call) writeChunk(chunk []byte, flush bool) {
+	if c.callerGone {
 		return
 	}
-	c.allowWrite()
-	_, err := c.w.Write(part)
+	c.extendWriteDeadline()
+	_, err := c.w.Write(chunk)
 	if err == nil && flush {
-		err = c.control.Flush()
+		err = c.controller.Flush()
 	}
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		c.gone = true
+		c.callerGone = true
 	}
 }
 
-// finishes reports whether the instance goes on when the caller has gone. A
-// request that must run at most once does, so that its answer is kept.
-func (c *call) finishes() bool {
+// survivesDisconnect reports whether the instance may finish after the caller
+// has disconnected. An at-most-once request does, so that its response is
+// stored.
+func (c *call) survivesDisconnect() bool {
 	return c.rule.Contract().Finish() || c.rule.Contract().Once()
 }
--- a/entry/caller/retry_test.go
+++ b/entry/caller/retry_test.go
@@ -18,8 +18,9 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// dying closes each link once it has a request, and counts them.
-func dying(t *testing.T, n *atomic.Int32) string {
+// closingInstance counts requests and closes the connection after each without
+// a response.
+func closingInstance(t *testing.T, n *atomic.Int32) string {
 	return rawInstance(t, func(_ net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -38,18 +39,18 @@
 	tests := map[string]struct {
 		method, path, body string
 		attempts           int32
-		opts               []parts
+		opts               []option
 	}{
 		"allowed twice":             {http.MethodGet, "/x", "", 3, nil},
 		"small body sent again":     {http.MethodPut, "/x", "body", 3, nil},
 		"large body not sent twice": {http.MethodPut, "/x", strings.Repeat("a", 200_000), 1, nil},
 		"not allowed":               {http.MethodPost, "/x", "body", 1, nil},
-		"budget spent":              {http.MethodGet, "/x", "", 1, []parts{func(p *caller.Config) { p.Budget = noBudget{} }}},
+		"budget spent":              {http.MethodGet, "/x", "", 1, []option{func(cfg *caller.Config) { cfg.Budget = noBudget{} }}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var n atomic.Int32
-			views := viewsOf(dying(t, &n), dying(t, &n), dying(t, &n), dying(t, &n))
+			views := viewsOf(closingInstance(t, &n), closingInstance(t, &n), closingInstance(t, &n), closingInstance(t, &n))
 			got := call(t, test.method, serveEntry(t, newEntry(t, views, newClaims(), test.opts...)), test.path, test.body)
 			must.Eq(t, outcome.Unknown, got.outcome())
 			must.Eq(t, test.attempts, n.Load())
@@ -57,16 +58,17 @@
 	}
 }
 
-// Without the budget behind the router it would be 900 attempts.
+// Without the retry budget of the router, 300 requests to instances that lose
+// every request would make 900 attempts.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	var n atomic.Int32
-	views := viewsOf(dying(t, &n), dying(t, &n), dying(t, &n))
+	views := viewsOf(closingInstance(t, &n), closingInstance(t, &n), closingInstance(t, &n))
 	tenth := route.WithTerms(func(service string) *contract.Service {
 		return contract.NewService(service, contract.WithRetryBudget(0.1))
 	})
-	entry := serveEntry(t, newEntry(t, views, newClaims(), func(p *caller.Config) {
+	entry := serveEntry(t, newEntry(t, views, newClaims(), func(cfg *caller.Config) {
 		router := route.NewRouter(views, route.NewLeastCount(), tenth)
-		p.Router, p.Budget = router, router
+		cfg.Router, cfg.Budget = router, router
 	}))
 	for range 300 {
 		must.Eq(t, outcome.UpstreamLost, call(t, http.MethodGet, entry, "/x", "").reason())
@@ -77,7 +79,7 @@
 func TestRetryReachesAnotherInstance(t *testing.T) {
 	var n atomic.Int32
 	good := httpInstance(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
-	entry := serveEntry(t, newEntry(t, viewsOf(dying(t, &n), good), newClaims()))
+	entry := serveEntry(t, newEntry(t, viewsOf(closingInstance(t, &n), good), newClaims()))
 	for range 10 {
 		must.Eq(t, "again", call(t, http.MethodPut, entry, "/x", "again").body)
 	}
@@ -95,12 +97,13 @@
 	must.Eq(t, 1, n.Load())
 }
 
-// Six layers of entry hosts, each of which may retry twice, above instances
-// that lose every request: without the attempt header it would be 3^6 tries.
+// Six layers of entry hosts, each of which may retry twice, in front of
+// instances that lose every request: without the attempt header there would be
+// 3^6 attempts.
 func TestLayersDoNotMultiplyRetries(t *testing.T) {
 	const layers = 6
 	var n atomic.Int32
-	below := []string{dying(t, &n), dying(t, &n), dying(t, &n)}
+	below := []string{closingInstance(t, &n), closingInstance(t, &n), closingInstance(t, &n)}
 	for range layers {
 		entry := newEntry(t, viewsOf(below...), newClaims())
 		below = []string{serveEntry(t, entry), serveEntry(t, entry), serveEntry(t, entry)}
@@ -128,23 +131,24 @@
 
 func TestNotRunOfTheLastAttemptDoesNotHideAnEarlierOne(t *testing.T) {
 	var n atomic.Int32
-	lossy, gone := dying(t, &n), deadAddress(t)
-	hidden := false
+	closing, unreachable := closingInstance(t, &n), deadAddress(t)
+	ran := false
 	for range 20 { // either instance may be tried first
-		entry := serveEntry(t, newEntry(t, viewsOf(lossy, gone), newClaims()))
+		entry := serveEntry(t, newEntry(t, viewsOf(closing, unreachable), newClaims()))
 		before := n.Load()
 		got := call(t, http.MethodGet, entry, "/x", "")
 		if n.Load() > before {
-			hidden = true
+			ran = true
 			must.Eq(t, outcome.Unknown, got.outcome())
 		}
 	}
-	must.True(t, hidden)
+	must.True(t, ran)
 }
 
-// The instance runs the request that comes over a kept link and is gone: the
-// new link that replaces a closed one cannot make it "not run".
-func TestRequestOnAClosedKeptLinkMayHaveRun(t *testing.T) {
+// The instance receives a request on an idle connection, closes it and stops
+// listening. The failure to connect again must not turn the outcome into "not
+// run".
+func TestRequestOnAClosedIdleConnectionMayHaveRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	go func() {
--- a/entry/caller/time_test.go
+++ b/entry/caller/time_test.go
@@ -18,7 +18,7 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// network connects servers and clients in memory.
+// network is an in-memory network of servers and clients.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
@@ -82,21 +82,21 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// client returns an HTTP client of the network.
+// client returns an HTTP client that dials over the network.
 func (n *network) client(t testing.TB) *http.Client {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return n.dial(ctx, address) }}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-func (n *network) pool(t testing.TB) parts {
-	return func(p *caller.Config) {
-		p.Pool = upstream.NewPool(upstream.WithDial(n.dial))
-		t.Cleanup(p.Pool.Close)
+func (n *network) pool(t testing.TB) option {
+	return func(cfg *caller.Config) {
+		cfg.Pool = upstream.NewPool(upstream.WithDial(n.dial))
+		t.Cleanup(cfg.Pool.Close)
 	}
 }
 
-// slowBody sends parts with pauses between them.
+// slowBody yields parts of a body with a pause before each.
 type slowBody struct {
 	parts int
 	size  int
@@ -112,7 +112,7 @@
 	return copy(p, make([]byte, b.size)), nil
 }
 
-// upload sends a slow upload under a rule whose deadline is 2 s.
+// upload sends a slow upload that matches a rule with a deadline of 2 s.
 func upload(t *testing.T, body *slowBody, handle http.HandlerFunc) (*http.Response, error) {
 	n := newNetwork()
 	n.serve(t, "i:1", handle)
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestHeldClaimIsToldUnknownAtTheDeadline(t *testing.T) {
+func TestHeldClaimIsUnknownAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, claims, runs := newNetwork(), newClaims(), &counter{}
 		n.serve(t, "i:1", runs)
@@ -242,7 +242,8 @@
 		request := func() *http.Request {
 			return newRequest(t, http.MethodPost, "e:1", "/pay/1", "5", keyHeader, "k", caller.CallerHeader, "c")
 		}
-		// A host that crashed between its claim and its answer leaves it held.
+		// The completion is lost, as if the host had crashed between claim and
+		// response: the claim remains held.
 		claims.setFault(func(step string) (bool, bool) { return step == "complete", false })
 		response, err := n.client(t).Do(request())
 		must.NoError(t, err)
