--- a/bench/call/trial.go
+++ b/bench/call/trial.go
@@ -163,7 +163,7 @@
 	h := &host{claims: &claims{group: t.group}, pool: upstream.NewPool(upstream.WithDial(t.net.dial)), listener: t.net.listen(fmt.Sprintf("e%d:1", n))}
 	h.settler = control.NewSettler(h.claims)
 	h.server = &http.Server{ReadHeaderTimeout: time.Minute, Handler: caller.New(caller.Config{
-		Host: fmt.Sprint("entry-", n), Table: table, Router: route.NewRouter(views, route.NewLeastCount()), Pool: h.pool,
+		Host: fmt.Sprint("entry-", n), Table: table, Router: route.NewRouter(views, route.NewLeastLoaded()), Pool: h.pool,
 		Claims: h.claims, Settler: h.settler, Suspects: suspects, Backlog: backlog.NewBook(), Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &atomic.Bool{},
 	})}
 	go func() { _ = h.server.Serve(h.listener) }()
--- a/bench/membership/membership.go
+++ b/bench/membership/membership.go
@@ -92,7 +92,7 @@
 }
 
 func (g *Group) announce(n int) {
-	out, err := g.cores[n%len(g.cores)].Hear(g.now, g.instances[n])
+	out, err := g.cores[n%len(g.cores)].Announce(g.now, g.instances[n])
 	if err == nil {
 		g.carry(out)
 	}
--- a/bench/route/virtual/probes.go
+++ b/bench/route/virtual/probes.go
@@ -50,7 +50,7 @@
 			}
 			f.clock.after(f.delay(h, n), func() {
 				target.Reservation.Settle(time.Duration(f.clock.now - sentAt))
-				target.Member.Load().Probed(reported, 0, epoch+f.clock.now)
+				target.Member.Load().RecordProbe(reported, 0, epoch+f.clock.now)
 			})
 		})
 	})
--- a/bench/route/virtual/run.go
+++ b/bench/route/virtual/run.go
@@ -170,7 +170,7 @@
 	}
 	q := route.NewQuery(service, f.terms, strconv.Itoa(a.caller), zoneName(h.zone))
 	if f.scenario.Deadline > 0 {
-		q = q.Before(time.Unix(0, epoch+f.clock.now+int64(f.scenario.Deadline)))
+		q = q.WithDeadline(time.Unix(0, epoch+f.clock.now+int64(f.scenario.Deadline)))
 	}
 	ticket, _, err := h.router.Offer(q, func(t *route.Ticket, err error) { f.granted(h, a, t, err) })
 	if err != nil || ticket != nil {
@@ -219,7 +219,7 @@
 	}
 	f.clock.after(timeout, func() {
 		f.result.answer(a.at, f.clock.now, true)
-		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: true, Lost: true})
+		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: true, ConnectionLost: true})
 	})
 }
 
@@ -244,7 +244,7 @@
 			return
 		}
 		f.result.answer(a.at, f.clock.now, failed)
-		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: failed, Reported: reported, HasReport: true})
+		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: failed, ReportedLoad: reported, HasReportedLoad: true})
 	})
 }
 
--- a/bench/route/virtual/run_test.go
+++ b/bench/route/virtual/run_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestProbesKeepToTheBudgetInARun(t *testing.T) {
-	s := virtual.Scenario{Load: 0.05, Instances: 6, Duration: 61 * time.Second, Policy: route.NewLeastCount, ProbeBudget: 0.01}
+	s := virtual.Scenario{Load: 0.05, Instances: 6, Duration: 61 * time.Second, Policy: route.NewLeastLoaded, ProbeBudget: 0.01}
 	r := virtual.Run(s)
 	must.Positive(t, r.ProbeShare())
 	must.LessEq(t, 0.01, r.ProbeShare())
--- a/bench/route_choose.go
+++ b/bench/route_choose.go
@@ -46,7 +46,7 @@
 	for range n {
 		// Learn something of the instances first.
 		if ticket, _, err := router.Offer(q, func(*route.Ticket, error) {}); err == nil && ticket != nil {
-			ticket.Finish(route.Report{Latency: 5 * time.Millisecond, HasReport: true, Reported: 1})
+			ticket.Finish(route.Report{Latency: 5 * time.Millisecond, HasReportedLoad: true, ReportedLoad: 1})
 		}
 	}
 	return func() { policy.Choose(view, &q, now, random, trace) }
--- a/bench/route_deployment.go
+++ b/bench/route_deployment.go
@@ -80,7 +80,7 @@
 		s := virtual.Scenario{Load: l.load, Duration: routeDuration}
 		central := t.add(s, 2, virtual.Central)
 		for _, active := range []int{1, 2, 3, 4, 8, 29} {
-			for name, policy := range map[string]func() route.Policy{"adaptive": adaptive, "least": route.NewLeastCount} {
+			for name, policy := range map[string]func() route.Policy{"adaptive": adaptive, "least": route.NewLeastLoaded} {
 				one := s
 				one.Active, one.Policy = active, policy
 				runs = append(runs, run{
--- a/control/disk/disk.go
+++ b/control/disk/disk.go
@@ -127,15 +127,15 @@
 }
 
 // Open reads the replica of a folder. ErrEmpty is returned if there is none.
-func Open(folder Folder, opts ...Option) (*Store, quorum.Saved, error) {
+func Open(folder Folder, opts ...Option) (*Store, quorum.PersistentState, error) {
 	s, err := lockFolder(folder, opts)
 	if err != nil {
-		return nil, quorum.Saved{}, err
+		return nil, quorum.PersistentState{}, err
 	}
 	saved, err := s.load(true)
 	if err != nil {
 		_ = s.Close()
-		return nil, quorum.Saved{}, err
+		return nil, quorum.PersistentState{}, err
 	}
 	return s, saved, nil
 }
--- a/control/disk/disk_test.go
+++ b/control/disk/disk_test.go
@@ -36,7 +36,7 @@
 	return all
 }
 
-func terms(saved quorum.Saved) string {
+func terms(saved quorum.PersistentState) string {
 	var parts []string
 	for _, e := range saved.Entries {
 		parts = append(parts, fmt.Sprintf("%d/%d", e.GetIndex(), e.GetTerm()))
@@ -44,7 +44,7 @@
 	return strings.Join(parts, " ")
 }
 
-func reopen(t must.T, folder disk.Folder) (*disk.Store, quorum.Saved) {
+func reopen(t must.T, folder disk.Folder) (*disk.Store, quorum.PersistentState) {
 	t.Helper()
 	s, saved, err := disk.Open(folder, disk.WithSegmentBytes(smallSegment))
 	must.NoError(t, err)
--- a/control/disk/load.go
+++ b/control/disk/load.go
@@ -32,28 +32,28 @@
 }
 
 // load reads the whole folder; with repair a torn tail is cut off.
-func (s *Store) load(repair bool) (quorum.Saved, error) {
+func (s *Store) load(repair bool) (quorum.PersistentState, error) {
 	if err := s.loadIdentity(); err != nil {
-		return quorum.Saved{}, err
+		return quorum.PersistentState{}, err
 	}
 	if repair {
 		if err := s.removeTemporary(); err != nil {
-			return quorum.Saved{}, err
+			return quorum.PersistentState{}, err
 		}
 	}
 	snapshot, err := s.Snapshot()
 	if err != nil {
-		return quorum.Saved{}, err
+		return quorum.PersistentState{}, err
 	}
 	r := &replay{}
 	if err := s.loadSegments(r, repair); err != nil {
-		return quorum.Saved{}, err
+		return quorum.PersistentState{}, err
 	}
 	entries, err := r.after(snapshot)
 	if err != nil {
-		return quorum.Saved{}, err
+		return quorum.PersistentState{}, err
 	}
-	return quorum.Saved{Vote: r.vote, Snapshot: snapshot, Entries: entries}, nil
+	return quorum.PersistentState{Vote: r.vote, Snapshot: snapshot, Entries: entries}, nil
 }
 
 func (s *Store) loadIdentity() error {
--- a/control/disk/read.go
+++ b/control/disk/read.go
@@ -8,7 +8,7 @@
 // Contents is what a data folder holds, read without changing it.
 type Contents struct {
 	identity *wire.ReplicaIdentity
-	saved    quorum.Saved
+	saved    quorum.PersistentState
 	segments []string
 	records  uint64
 }
@@ -17,7 +17,7 @@
 func (c *Contents) Identity() *wire.ReplicaIdentity { return c.identity }
 
 // Saved returns vote, snapshot and entries.
-func (c *Contents) Saved() quorum.Saved { return c.saved }
+func (c *Contents) Saved() quorum.PersistentState { return c.saved }
 
 // Segments returns the names of the log's files, oldest first.
 func (c *Contents) Segments() []string { return c.segments }
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -19,7 +19,7 @@
 // replica is what the data folder held at the start.
 type replica struct {
 	store *disk.Store
-	saved quorum.Saved
+	saved quorum.PersistentState
 }
 
 func newReplica(cfg *settings.Settings) (*replica, error) {
--- a/control/peer/form.go
+++ b/control/peer/form.go
@@ -15,14 +15,14 @@
 
 // OpenStore opens the replica of a data folder, or makes a new one with a new
 // identity in an empty folder.
-func OpenStore(folder disk.Folder, name string) (*disk.Store, quorum.Saved, error) {
+func OpenStore(folder disk.Folder, name string) (*disk.Store, quorum.PersistentState, error) {
 	store, saved, err := disk.Open(folder)
 	if !errors.Is(err, disk.ErrEmpty) {
 		return store, saved, err
 	}
 	identity := &wire.ReplicaIdentity{Identity: uuid.NewString(), Name: name}
 	store, err = disk.Create(folder, identity)
-	return store, quorum.Saved{}, err
+	return store, quorum.PersistentState{}, err
 }
 
 // form makes the group when this host comes first in the initial membership
@@ -86,7 +86,7 @@
 		return nil
 	}
 	first := &wire.LogEntry{Index: 1, Term: 1, Kind: wire.EntryKind_ENTRY_MEMBERS, Members: &wire.Members{Members: members}}
-	saved := quorum.Saved{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{first}}
+	saved := quorum.PersistentState{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{first}}
 	if err := n.store.Write(saved.Vote, saved.Entries); err != nil {
 		return err
 	}
--- a/control/peer/peer.go
+++ b/control/peer/peer.go
@@ -105,7 +105,7 @@
 }
 
 // New returns a node on a store that was opened or created.
-func New(cfg Config, store *disk.Store, saved quorum.Saved, machine *state.Machine) (*Node, error) {
+func New(cfg Config, store *disk.Store, saved quorum.PersistentState, machine *state.Machine) (*Node, error) {
 	if cfg.Client == nil {
 		cfg.Client = func(t http.RoundTripper) *http.Client { return &http.Client{Transport: t} }
 	}
@@ -135,7 +135,7 @@
 	return n, nil
 }
 
-func (n *Node) start(saved quorum.Saved) {
+func (n *Node) start(saved quorum.PersistentState) {
 	id := n.store.Identity().GetIdentity()
 	n.replica = quorum.New(id, saved,
 		quorum.WithElectionTicks(n.cfg.ElectionTicks), quorum.WithHeartbeatTicks(n.cfg.HeartbeatTicks),
@@ -222,7 +222,7 @@
 		if out.Empty() {
 			break
 		}
-		n.send(out.Early())
+		n.send(out.EarlyMessages())
 		if err := n.write(&out); err != nil {
 			n.halt(err)
 			return
--- a/control/peer/read.go
+++ b/control/peer/read.go
@@ -51,7 +51,7 @@
 	handed := n.do(ctx, func() {
 		n.nextRead++
 		n.reads[n.nextRead] = answer
-		n.replica.Read(n.nextRead)
+		n.replica.ReadIndex(n.nextRead)
 	})
 	if !handed {
 		return 0, false
--- a/control/peer/steward.go
+++ b/control/peer/steward.go
@@ -212,7 +212,7 @@
 func (n *Node) memberStates() []memberState {
 	var states []memberState
 	for _, m := range n.replica.Members() {
-		_, active := n.replica.Match(m.GetIdentity())
+		_, active := n.replica.MatchIndex(m.GetIdentity())
 		states = append(states, memberState{member: m, reachable: active})
 	}
 	return states
--- a/control/peer/view.go
+++ b/control/peer/view.go
@@ -67,7 +67,7 @@
 	v := &view{
 		isLeader: n.replica.Role() == quorum.Leader && n.failure() == nil,
 		leader:   n.replica.Leader(), term: n.replica.Term(), commitIndex: n.replica.CommitIndex(),
-		quorum: n.replica.HeardQuorum() && n.failure() == nil,
+		quorum: n.replica.HasQuorum() && n.failure() == nil,
 	}
 	v.heardAt = n.view.Load().heardAt
 	if v.quorum {
@@ -80,7 +80,7 @@
 		if m.GetIdentity() == n.replica.ID() {
 			v.address = m.GetAddress()
 		}
-		match, active := n.replica.Match(m.GetIdentity())
+		match, active := n.replica.MatchIndex(m.GetIdentity())
 		v.members = append(v.members, &wire.Member{
 			Name: m.GetName(), Address: m.GetAddress(), Role: m.GetRole(), Identity: m.GetIdentity(),
 			MatchIndex: match, Reachable: active || (v.quorum && m.GetIdentity() == v.leader),
--- a/control/quorum/follower.go
+++ b/control/quorum/follower.go
@@ -88,7 +88,7 @@
 		return
 	}
 	r.log.reset(snapshot)
-	r.members = newMembership(Saved{Snapshot: snapshot})
+	r.members = newMembership(PersistentState{Snapshot: snapshot})
 	r.out.snapshot = snapshot
 	r.answerAppend(m, snapshot.GetIndex())
 }
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -37,7 +37,7 @@
 	return &wire.LogEntry{Index: 1, Term: 1, Kind: wire.EntryKind_ENTRY_MEMBERS, Members: &wire.Members{Members: members(names...)}}
 }
 
-func newReplica(name string, saved quorum.Saved) *quorum.Replica {
+func newReplica(name string, saved quorum.PersistentState) *quorum.Replica {
 	seed := uint64(0)
 	for _, c := range name {
 		seed = seed*31 + uint64(c)
@@ -48,12 +48,12 @@
 func newGroup(names ...string) *group {
 	g := &group{replicas: map[string]*quorum.Replica{}, cut: map[string]bool{}, applied: map[string][]string{}}
 	for _, name := range names {
-		g.add(name, quorum.Saved{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{membersEntry(names...)}})
+		g.add(name, quorum.PersistentState{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{membersEntry(names...)}})
 	}
 	return g
 }
 
-func (g *group) add(name string, saved quorum.Saved) {
+func (g *group) add(name string, saved quorum.PersistentState) {
 	g.replicas[name] = newReplica(name, saved)
 	g.order = append(g.order, name)
 }
@@ -66,7 +66,7 @@
 			return
 		}
 		r.Persisted()
-		g.queue = append(g.queue, out.Early()...)
+		g.queue = append(g.queue, out.EarlyMessages()...)
 		g.queue = append(g.queue, out.Messages()...)
 		for _, m := range g.queue {
 			if m.GetKind() == wire.QuorumKind_QUORUM_SNAPSHOT && m.GetSnapshot() == nil {
--- a/control/quorum/log.go
+++ b/control/quorum/log.go
@@ -18,7 +18,7 @@
 	bytes      int    // size of the entries' data
 }
 
-func newEntryLog(saved Saved) entryLog {
+func newEntryLog(saved PersistentState) entryLog {
 	index := saved.Snapshot.GetIndex()
 	l := entryLog{offset: index, offsetTerm: saved.Snapshot.GetTerm(), commit: index, applied: index}
 	for _, e := range saved.Entries {
--- a/control/quorum/members.go
+++ b/control/quorum/members.go
@@ -34,7 +34,7 @@
 	members []*wire.Member
 }
 
-func newMembership(saved Saved) membership {
+func newMembership(saved PersistentState) membership {
 	m := membership{history: []membersAt{{index: saved.Snapshot.GetIndex(), members: saved.Snapshot.GetMembers().GetMembers()}}}
 	for _, e := range saved.Entries {
 		if e.GetKind() == wire.EntryKind_ENTRY_MEMBERS && e.GetIndex() > saved.Snapshot.GetIndex() {
@@ -127,9 +127,9 @@
 // Members returns the newest membership that this replica knows.
 func (r *Replica) Members() []*wire.Member { return r.members.newest().members }
 
-// Match returns the last entry that a member is known to hold, and whether it
+// MatchIndex returns the last entry that a member is known to hold, and whether it
 // was heard lately. Only the leader knows.
-func (r *Replica) Match(id string) (index uint64, active bool) {
+func (r *Replica) MatchIndex(id string) (index uint64, active bool) {
 	if id == r.id {
 		return r.log.stable, true
 	}
--- a/control/quorum/output.go
+++ b/control/quorum/output.go
@@ -28,8 +28,8 @@
 // first one's index on.
 func (o *Output) Entries() []*wire.LogEntry { return o.entries }
 
-// Early returns messages that need not wait for the writes.
-func (o *Output) Early() []*wire.QuorumMessage { return o.early }
+// EarlyMessages returns messages that need not wait for the writes.
+func (o *Output) EarlyMessages() []*wire.QuorumMessage { return o.early }
 
 // Messages returns messages to send once the writes are durable. A snapshot
 // message carries no state: the sender attaches its newest snapshot.
--- a/control/quorum/quorum.go
+++ b/control/quorum/quorum.go
@@ -42,8 +42,8 @@
 	Leader       Role = "leader"
 )
 
-// Saved is the durable state that a replica starts from.
-type Saved struct {
+// PersistentState is the durable state that a replica starts from.
+type PersistentState struct {
 	Vote     *wire.SavedVote
 	Snapshot *wire.LogSnapshot // the state is not needed here
 	Entries  []*wire.LogEntry
@@ -76,7 +76,7 @@
 }
 
 // New returns a replica with the given identity.
-func New(id string, saved Saved, opts ...Option) *Replica {
+func New(id string, saved PersistentState, opts ...Option) *Replica {
 	r := &Replica{options: defaultOptions(), id: id, role: Follower}
 	for _, opt := range opts {
 		opt(&r.options)
--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestVoteIsKeptOverARestart(t *testing.T) {
-	saved := quorum.Saved{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{membersEntry("a", "b", "c")}}
+	saved := quorum.PersistentState{Vote: &wire.SavedVote{Term: 1}, Entries: []*wire.LogEntry{membersEntry("a", "b", "c")}}
 	vote := func(from string) *wire.QuorumMessage {
 		return &wire.QuorumMessage{Kind: wire.QuorumKind_QUORUM_VOTE, From: from, To: "c", Term: 2, Index: 1, LogTerm: 1}
 	}
@@ -31,7 +31,7 @@
 	c.Step(vote("a"))
 	out := c.Take()
 	must.False(t, out.Messages()[0].GetReject())
-	must.SliceEmpty(t, out.Early())
+	must.SliceEmpty(t, out.EarlyMessages())
 	saved.Vote = out.Vote()
 	again := newReplica("c", saved)
 	again.Step(vote("b"))
@@ -41,7 +41,7 @@
 
 // An entry of an older term may be on a quorum and still be replaced.
 func TestOlderTermIsNotCommittedByCounting(t *testing.T) {
-	saved := quorum.Saved{
+	saved := quorum.PersistentState{
 		Vote:    &wire.SavedVote{Term: 3},
 		Entries: []*wire.LogEntry{membersEntry("a", "b", "c"), {Index: 2, Term: 2, Data: []byte("old")}},
 	}
@@ -80,7 +80,7 @@
 	must.NoError(t, g.propose("one"))
 	old := g.leader()
 	g.cut[old.ID()] = true
-	old.Read(7)
+	old.ReadIndex(7)
 	g.tick(electionTicks)
 	must.Eq(t, quorum.Follower, old.Role())
 	must.SliceLen(t, 1, g.reads)
@@ -93,7 +93,7 @@
 	g := newGroup("a", "b", "c")
 	must.NoError(t, g.propose("one"))
 	leader := g.leader()
-	leader.Read(7)
+	leader.ReadIndex(7)
 	g.flush(leader.ID())
 	must.SliceEmpty(t, g.reads)
 	g.deliver()
@@ -126,7 +126,7 @@
 	for index := uint64(2); index <= 5; index++ {
 		entries = append(entries, &wire.LogEntry{Index: index, Term: 1})
 	}
-	r := newReplica("a", quorum.Saved{Vote: &wire.SavedVote{Term: 1}, Entries: entries})
+	r := newReplica("a", quorum.PersistentState{Vote: &wire.SavedVote{Term: 1}, Entries: entries})
 	r.Step(&wire.QuorumMessage{
 		Kind: wire.QuorumKind_QUORUM_SNAPSHOT, From: "b", To: "a", Term: 1,
 		Snapshot: &wire.LogSnapshot{Index: 3, Term: 1, Members: &wire.Members{Members: members("a", "b", "c")}},
@@ -138,7 +138,7 @@
 }
 
 func TestBlankReplicaNeverStands(t *testing.T) {
-	r := newReplica("a", quorum.Saved{})
+	r := newReplica("a", quorum.PersistentState{})
 	for range 10 * electionTicks {
 		r.Tick()
 	}
@@ -180,7 +180,7 @@
 	g := newGroup("a", "b", "c")
 	leader := g.elect()
 	g.deliver()
-	g.add("d", quorum.Saved{})
+	g.add("d", quorum.PersistentState{})
 	_, _, err := leader.Remove(leader.ID())
 	must.ErrorIs(t, err, quorum.ErrRemovesLeader)
 	_, _, err = leader.AddLearner(&wire.Member{Name: "d", Identity: "d"})
--- a/control/quorum/read.go
+++ b/control/quorum/read.go
@@ -40,9 +40,9 @@
 	q.arrived, q.pending = nil, nil
 }
 
-// Read asks for the index that a current read must have applied. The result
+// ReadIndex asks for the index that a current read must have applied. The result
 // comes with a later Take.
-func (r *Replica) Read(id uint64) {
+func (r *Replica) ReadIndex(id uint64) {
 	if r.role != Leader {
 		r.out.reads = append(r.out.reads, ReadResult{id: id})
 		return
--- a/control/quorum/view.go
+++ b/control/quorum/view.go
@@ -1,8 +1,8 @@
 package quorum
 
-// HeardQuorum reports whether the replica has lately heard a quorum's word: as
+// HasQuorum reports whether the replica has lately heard a quorum's word: as
 // a leader from a quorum itself, otherwise from a leader.
-func (r *Replica) HeardQuorum() bool { return r.role == Leader || r.leaderHeard() }
+func (r *Replica) HasQuorum() bool { return r.role == Leader || r.leaderHeard() }
 
 // IsVoter reports whether the replica may vote and lead.
 func (r *Replica) IsVoter() bool { return r.members.isVoter(r.id) }
--- a/control/schedule/clients.go
+++ b/control/schedule/clients.go
@@ -89,7 +89,7 @@
 	c.nextRead++
 	a := &attempt{started: w.now, floor: c.known}
 	h.reads[c.nextRead] = a
-	h.replica.Read(c.nextRead)
+	h.replica.ReadIndex(c.nextRead)
 	h.flush()
 }
 
--- a/control/schedule/host.go
+++ b/control/schedule/host.go
@@ -99,7 +99,7 @@
 		if out.Empty() {
 			return
 		}
-		h.world.send(out.Early())
+		h.world.send(out.EarlyMessages())
 		if out.NeedsWrite() && !h.write(&out) {
 			return
 		}
--- a/control/state/instances.go
+++ b/control/state/instances.go
@@ -62,7 +62,7 @@
 		return s.silence(old, m)
 	case outdated(old, m) || s.overtaken(m):
 		return &wire.AnnouncementResult{Outdated: true}
-	case !NewsOf(old, m):
+	case !ChangesRecord(old, m):
 		return &wire.AnnouncementResult{}
 	}
 	next := proto.Clone(m).(*wire.Instance)
@@ -109,8 +109,8 @@
 	return !m.GetGone() && other != nil && other.GetId() != m.GetId() && other.GetIncarnation() > m.GetIncarnation()
 }
 
-// NewsOf reports whether a message changes the record of an instance.
-func NewsOf(old, m *wire.Instance) bool {
+// ChangesRecord reports whether a message changes the record of an instance.
+func ChangesRecord(old, m *wire.Instance) bool {
 	if old == nil || old.GetIncarnation() != m.GetIncarnation() || old.GetSilent() {
 		return true
 	}
--- a/control/upstream/upstream.go
+++ b/control/upstream/upstream.go
@@ -76,7 +76,7 @@
 // committed; an error says that this is not certain.
 func (i *Instances) Hear(ctx context.Context, m *wire.Instance) error {
 	m.HeardBy = i.name
-	if !state.NewsOf(i.machine.Instance(m.GetId()), m) {
+	if !state.ChangesRecord(i.machine.Instance(m.GetId()), m) {
 		if !i.log.Status().Quorum() {
 			return ErrNoQuorum
 		}
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -102,7 +102,7 @@
 	if c.aim.IsZero() {
 		return q
 	}
-	return q.Aiming(c.aim)
+	return q.WithSoftDeadline(c.aim)
 }
 
 // attempt sends the request to one instance.
@@ -179,13 +179,13 @@
 func (d *dispatch) send(attempt int) (*upstream.Exchange, error) {
 	var opts []upstream.SendOption
 	if d.ctx == nil { // two exchanges cannot both forward interim responses
-		opts = append(opts, upstream.WithInform(d.c.forwardInterim))
+		opts = append(opts, upstream.WithInterimHandler(d.c.forwardInterim))
 	}
 	if dialect := d.c.dialect; dialect.RequestID != "" {
 		opts = append(opts, upstream.WithIdentity(dialect.RequestID, d.c.r.Header.Get(dialect.RequestID)))
 	}
 	if d.c.dialect.CloseDelimited {
-		opts = append(opts, upstream.WithUnframed())
+		opts = append(opts, upstream.WithCloseDelimited())
 	}
 	switch {
 	case attempt > 1:
@@ -220,8 +220,8 @@
 	record.Attempt = attempt
 	record.Reason = d.ticket.Reason()
 	record.Waited = d.ticket.Waited()
-	probes := d.ticket.Look()
-	record.Asked, record.Told, record.Look = probes.Asked, probes.Told, probes.Took
+	probes := d.ticket.Probes()
+	record.Asked, record.Told, record.Look = probes.Sent, probes.Completed, probes.Elapsed
 	record.Candidates = d.ticket.Explain()
 	record.Latency = d.report.Latency
 }
@@ -256,14 +256,14 @@
 	case upstream.Cancelled:
 		d.report.Failed = d.c.ctx.cause() == errDeadline
 	case upstream.Unopened:
-		d.report.Failed, d.report.Lost = true, true
+		d.report.Failed, d.report.ConnectionLost = true, true
 	case upstream.Silent:
-		d.report.Lost = !pool.Connects(ctx, address)
-		d.report.Failed = d.report.Lost
+		d.report.ConnectionLost = !pool.CanConnect(ctx, address)
+		d.report.Failed = d.report.ConnectionLost
 	case upstream.Closed, upstream.Stale:
 		d.report.Failed = true
-		d.report.Lost = !pool.Reachable(ctx, address)
-		if d.report.Lost {
+		d.report.ConnectionLost = !pool.Reachable(ctx, address)
+		if d.report.ConnectionLost {
 			d.flight.Lost(ctx)
 		}
 	case upstream.Malformed:
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -65,7 +65,7 @@
 	table.Confirm(1, time.Now())
 	e := &entryHost{backlog: backlog.NewBook(), pool: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewBook()}
 	cfg := caller.Config{
-		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table))), Pool: e.pool, Claims: claims,
+		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastLoaded(), route.WithTerms(termsOf(table))), Pool: e.pool, Claims: claims,
 		Settler: e.settler, Suspects: e.suspects, Backlog: e.backlog, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
 	}
 	for _, opt := range opts {
--- a/entry/caller/hedge.go
+++ b/entry/caller/hedge.go
@@ -120,7 +120,7 @@
 		return last.d.conclude(last.attempt, last.exchange, last.err)
 	}
 	other.cancel()
-	other.report = route.Report{Beaten: true, Latency: time.Since(other.started)}
+	other.report = route.Report{HedgeCancelled: true, Latency: time.Since(other.started)}
 	go func() {
 		if loser := <-results; loser.exchange != nil {
 			loser.exchange.Close()
--- a/entry/caller/host_test.go
+++ b/entry/caller/host_test.go
@@ -32,7 +32,7 @@
 	}
 	views.Store(all)
 	return serveEntry(t, newEntry(t, views, nil, func(cfg *caller.Config) {
-		cfg.Table, cfg.Router = table, route.NewRouter(views, route.NewLeastCount(), route.WithTerms(termsOf(table)))
+		cfg.Table, cfg.Router = table, route.NewRouter(views, route.NewLeastLoaded(), route.WithTerms(termsOf(table)))
 	}))
 }
 
--- a/entry/caller/retry_test.go
+++ b/entry/caller/retry_test.go
@@ -67,7 +67,7 @@
 		return contract.NewService(service, contract.WithRetryBudget(0.1))
 	})
 	entry := serveEntry(t, newEntry(t, views, newClaims(), func(cfg *caller.Config) {
-		router := route.NewRouter(views, route.NewLeastCount(), tenth)
+		router := route.NewRouter(views, route.NewLeastLoaded(), tenth)
 		cfg.Router, cfg.Budget = router, router
 	}))
 	for range 300 {
--- a/entry/discovery/members_test.go
+++ b/entry/discovery/members_test.go
@@ -22,12 +22,12 @@
 }
 
 func (m *members) Hear(i *wire.Instance) error {
-	_, err := m.core.Hear(0, i)
+	_, err := m.core.Announce(0, i)
 	return err
 }
 
 func (m *members) Gone(id string, incarnation uint64) error {
-	_, err := m.core.Gone(0, id, incarnation)
+	_, err := m.core.Withdraw(0, id, incarnation)
 	return err
 }
 
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -34,7 +34,7 @@
 		must.LessEq(t, 2*time.Second, took)
 		b := w.beats["i5"]
 		delete(w.beats, "i5")
-		out, err := w.byName[b.entry].core.Gone(w.clock(w.byName[b.entry]), "i5", 1)
+		out, err := w.byName[b.entry].core.Withdraw(w.clock(w.byName[b.entry]), "i5", 1)
 		must.NoError(t, err)
 		w.carry(w.byName[b.entry], out)
 		took = w.spread(10*time.Second, func(n *node) bool { return !n.core.Usable("i5") })
@@ -125,13 +125,13 @@
 	out := w.nodes[4].core.Merge(w.clock(w.nodes[4]), nil, []*wire.Instance{old})
 	must.SliceEmpty(t, out.Instances)
 	must.Eq(t, 8, w.nodes[4].core.Instance("i").GetIncarnation())
-	_, err := w.nodes[2].core.Hear(w.clock(w.nodes[2]), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 7})
+	_, err := w.nodes[2].core.Announce(w.clock(w.nodes[2]), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 7})
 	must.ErrorIs(t, err, gossip.ErrOldIncarnation)
-	_, err = w.nodes[2].core.Gone(w.clock(w.nodes[2]), "i", 7)
+	_, err = w.nodes[2].core.Withdraw(w.clock(w.nodes[2]), "i", 7)
 	must.ErrorIs(t, err, gossip.ErrOldIncarnation)
-	_, err = w.nodes[2].core.Gone(w.clock(w.nodes[2]), "i", 8)
+	_, err = w.nodes[2].core.Withdraw(w.clock(w.nodes[2]), "i", 8)
 	must.NoError(t, err)
-	_, err = w.nodes[2].core.Hear(w.clock(w.nodes[2]), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 8})
+	_, err = w.nodes[2].core.Announce(w.clock(w.nodes[2]), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 8})
 	must.ErrorIs(t, err, gossip.ErrLeft)
 }
 
@@ -139,7 +139,7 @@
 	w := newNetwork(3, 8)
 	hear := func(n int, sequence uint64, draining bool) {
 		m := &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 1, Sequence: sequence, Draining: draining}
-		out, err := w.nodes[n].core.Hear(w.clock(w.nodes[n]), m)
+		out, err := w.nodes[n].core.Announce(w.clock(w.nodes[n]), m)
 		must.NoError(t, err)
 		w.carry(w.nodes[n], out)
 	}
@@ -252,7 +252,7 @@
 	w.run(20 * time.Second)
 	must.NotEq(t, "e01", w.nodes[3].core.Instance("i").GetHeardBy())
 	delete(w.beats, "i")
-	out, err := w.nodes[1].core.Gone(w.clock(w.nodes[1]), "i", 1)
+	out, err := w.nodes[1].core.Withdraw(w.clock(w.nodes[1]), "i", 1)
 	must.NoError(t, err)
 	w.carry(w.nodes[1], out)
 	w.run(time.Second)
@@ -268,7 +268,7 @@
 func TestHostThatStoodStillKeepsItsLeases(t *testing.T) {
 	w := newNetwork(1, 16)
 	n := w.nodes[0]
-	_, err := n.core.Hear(w.clock(n), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 1})
+	_, err := n.core.Announce(w.clock(n), &wire.Instance{Id: "i", Service: "catalogue", Incarnation: 1})
 	must.NoError(t, err)
 	w.run(time.Second)
 	n.paused = true
--- a/entry/gossip/instance.go
+++ b/entry/gossip/instance.go
@@ -62,9 +62,9 @@
 	return instanceDigest(a) > instanceDigest(b)
 }
 
-// Hear takes an instance's own announcement and renews its lease. Only a
+// Announce takes an instance's own announcement and renews its lease. Only a
 // change is passed on.
-func (c *Core) Hear(now time.Duration, m *wire.Instance) (Output, error) {
+func (c *Core) Announce(now time.Duration, m *wire.Instance) (Output, error) {
 	c.now = max(c.now, now)
 	if err := checkInstance(m); err != nil {
 		return c.take(), err
@@ -128,9 +128,9 @@
 	return !proto.Equal(a, b)
 }
 
-// Gone takes an instance's own word that it leaves. Incarnation 0 means the
+// Withdraw takes an instance's own word that it leaves. Incarnation 0 means the
 // one that is known.
-func (c *Core) Gone(now time.Duration, id string, incarnation uint64) (Output, error) {
+func (c *Core) Withdraw(now time.Duration, id string, incarnation uint64) (Output, error) {
 	c.now = max(c.now, now)
 	known := c.instances[id]
 	if known == nil {
--- a/entry/gossip/lease.go
+++ b/entry/gossip/lease.go
@@ -107,9 +107,9 @@
 	c.out.Checks = append(c.out.Checks, r.message)
 }
 
-// Checked takes the result of a check: whether the instance could be connected
+// ReportCheck takes the result of a check: whether the instance could be connected
 // to. Success makes this host the owner.
-func (c *Core) Checked(now time.Duration, checked *wire.Instance, connected bool) Output {
+func (c *Core) ReportCheck(now time.Duration, checked *wire.Instance, connected bool) Output {
 	c.now = max(c.now, now)
 	r := c.instances[checked.GetId()]
 	if r == nil || !r.live() || !connected || r.message.GetIncarnation() != checked.GetIncarnation() {
--- a/entry/gossip/network_test.go
+++ b/entry/gossip/network_test.go
@@ -133,14 +133,14 @@
 		w.pull(n, w.byName[out.Pull])
 	}
 	for _, one := range out.Checks {
-		w.carry(n, n.core.Checked(w.clock(n), one, w.connects[one.GetId()]))
+		w.carry(n, n.core.ReportCheck(w.clock(n), one, w.connects[one.GetId()]))
 	}
 }
 
 func (w *network) pull(n, from *node) {
 	after := ""
 	for {
-		hosts, instances, next := from.core.Page(after)
+		hosts, instances, next := from.core.RecordsAfter(after)
 		w.carry(n, n.core.Merge(w.clock(n), hosts, instances))
 		if after = next; after == "" {
 			return
@@ -199,7 +199,7 @@
 			continue
 		}
 		b.message.Sequence++
-		out, _ := entry.core.Hear(w.clock(entry), proto.Clone(b.message).(*wire.Instance))
+		out, _ := entry.core.Announce(w.clock(entry), proto.Clone(b.message).(*wire.Instance))
 		w.carry(entry, out)
 	}
 }
@@ -276,6 +276,6 @@
 }
 
 func records(n *node) []*wire.GossipHost {
-	hosts, _, _ := n.core.Page("")
+	hosts, _, _ := n.core.RecordsAfter("")
 	return hosts
 }
--- a/entry/gossip/page.go
+++ b/entry/gossip/page.go
@@ -9,9 +9,9 @@
 // pageRecords is how many records a host that fetches the state gets at once.
 const pageRecords = 500
 
-// Page returns records after a key, in order of keys, and the last key if
+// RecordsAfter returns records after a key, in order of keys, and the last key if
 // there may be more. It is for a host that fetches the whole state.
-func (c *Core) Page(after string) (hosts []*wire.GossipHost, instances []*wire.Instance, next string) {
+func (c *Core) RecordsAfter(after string) (hosts []*wire.GossipHost, instances []*wire.Instance, next string) {
 	keys := c.keysAfter(after)
 	if len(keys) > pageRecords {
 		keys = keys[:pageRecords]
--- a/entry/gossip/property_test.go
+++ b/entry/gossip/property_test.go
@@ -116,7 +116,7 @@
 	b := m.instance(t)
 	entry := m.w.byName[b.entry]
 	if !entry.down && rapid.Bool().Draw(t, "says so") {
-		out, err := entry.core.Gone(m.w.clock(entry), b.message.GetId(), b.message.GetIncarnation())
+		out, err := entry.core.Withdraw(m.w.clock(entry), b.message.GetId(), b.message.GetIncarnation())
 		must.NoError(t, err)
 		m.w.carry(entry, out)
 		m.left[b.message.GetId()] = b.message.GetIncarnation()
@@ -188,7 +188,7 @@
 		b := m.w.beats[id]
 		delete(m.w.beats, id)
 		entry := m.w.byName[b.entry]
-		out, err := entry.core.Gone(m.w.clock(entry), id, b.message.GetIncarnation())
+		out, err := entry.core.Withdraw(m.w.clock(entry), id, b.message.GetIncarnation())
 		must.NoError(m.t, err)
 		m.w.carry(entry, out)
 	}
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -147,8 +147,8 @@
 	return route.NewRouter(views, policy,
 		route.WithShare(share), route.WithHost(cfg.Host.Name), scout.option(cfg),
 		route.WithLimits(route.Limits{
-			Waiting: cfg.Route.QueueLength, Wait: seconds(cfg.Route.QueueSeconds),
-			Bypass: cfg.Route.Bypass, MaxEjected: cfg.Route.MaxEjected,
+			QueueLength: cfg.Route.QueueLength, MaxWait: seconds(cfg.Route.QueueSeconds),
+			MaxBypass: cfg.Route.Bypass, MaxEjected: cfg.Route.MaxEjected,
 		}),
 		route.WithPolicies(func(name string) route.Policy { return policyNamed(cfg.Route, name) }),
 		route.WithTerms(func(service string) *contract.Service {
--- a/entry/host/listener.go
+++ b/entry/host/listener.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if load, told := o.dialect.Load(h); told {
-		report.Told, report.Requests, report.Speed = true, load.Requests, load.Speed
+		report.HasLoad, report.Requests, report.Slowdown = true, load.Requests, load.Speed
 	}
 }
 
--- a/entry/host/probe.go
+++ b/entry/host/probe.go
@@ -55,5 +55,5 @@
 	started := time.Now()
 	report := p.scout.ask(target.Member)
 	target.Reservation.Settle(min(time.Since(started), milliseconds(p.cfg.Probe.MostMs)))
-	p.router.Probed(target.Member, report)
+	p.router.RecordProbe(target.Member, report)
 }
--- a/entry/host/scout.go
+++ b/entry/host/scout.go
@@ -40,9 +40,9 @@
 // no load.
 func (s *scout) option(cfg *settings.Settings) route.Option {
 	if cfg.Probe.StaleMs > 0 || s.o.dialect == nil {
-		return route.WithScout(nil)
+		return route.WithProbe(nil)
 	}
-	return route.WithScout(s.ask)
+	return route.WithProbe(s.ask)
 }
 
 // ask asks one instance for its load.
--- a/entry/limit/callers.go
+++ b/entry/limit/callers.go
@@ -19,8 +19,8 @@
 	usedAt   atomic.Int64
 }
 
-// Enter counts a request unless the caller has as many in flight already.
-func (c *Caller) Enter(most int) bool {
+// TryAcquire counts a request unless the caller has as many in flight already.
+func (c *Caller) TryAcquire(most int) bool {
 	for {
 		n := c.inFlight.Load()
 		if int(n) >= most {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Leave ends a request.
-func (c *Caller) Leave() { c.inFlight.Add(-1) }
+// Release ends a request.
+func (c *Caller) Release() { c.inFlight.Add(-1) }
 
 // InFlight returns the caller's requests in flight.
 func (c *Caller) InFlight() int { return int(c.inFlight.Load()) }
--- a/entry/limit/limit_test.go
+++ b/entry/limit/limit_test.go
@@ -57,13 +57,13 @@
 func TestCallersAreForgottenButNeverWhileInFlight(t *testing.T) {
 	callers := limit.NewCallers[string](160)
 	busy := callers.Get("busy", 0)
-	must.True(t, busy.Enter(1))
-	must.False(t, busy.Enter(1))
+	must.True(t, busy.TryAcquire(1))
+	must.False(t, busy.TryAcquire(1))
 	for n := range 10_000 {
 		callers.Get(strconv.Itoa(n), int64(n))
 	}
 	must.LessEq(t, 160, callers.Len())
 	must.True(t, callers.Get("busy", 0) == busy)
-	busy.Leave()
-	must.True(t, busy.Enter(1))
+	busy.Release()
+	must.True(t, busy.TryAcquire(1))
 }
--- a/entry/peer/fetch.go
+++ b/entry/peer/fetch.go
@@ -61,7 +61,7 @@
 		if err == nil {
 			_ = conn.Close()
 		}
-		n.step(ctx, func(now time.Duration) gossip.Output { return n.core.Checked(now, one, err == nil) })
+		n.step(ctx, func(now time.Duration) gossip.Output { return n.core.ReportCheck(now, one, err == nil) })
 	})
 }
 
@@ -76,6 +76,6 @@
 func (s *service) Announce(_ context.Context, req *wire.AnnounceRequest) (*wire.AnnounceResponse, error) {
 	s.node.mu.Lock()
 	defer s.node.mu.Unlock()
-	hosts, instances, next := s.node.core.Page(req.GetAfter())
+	hosts, instances, next := s.node.core.RecordsAfter(req.GetAfter())
 	return &wire.AnnounceResponse{Hosts: hosts, Instances: instances, Next: next}, nil
 }
--- a/entry/peer/node.go
+++ b/entry/peer/node.go
@@ -167,7 +167,7 @@
 func (n *Node) Hear(m *wire.Instance) (err error) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output {
 		var out gossip.Output
-		out, err = n.core.Hear(now, m)
+		out, err = n.core.Announce(now, m)
 		return out
 	})
 	return err
@@ -178,7 +178,7 @@
 func (n *Node) Gone(id string, incarnation uint64) (err error) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output {
 		var out gossip.Output
-		out, err = n.core.Gone(now, id, incarnation)
+		out, err = n.core.Withdraw(now, id, incarnation)
 		return out
 	})
 	return err
--- a/entry/probe/planner.go
+++ b/entry/probe/planner.go
@@ -88,8 +88,8 @@
 
 // serves reports whether the service's requests come to this host.
 func (p *Planner) serves(view *route.View, now int64) bool {
-	last := view.Norm().LastAnswer()
-	return last != 0 && now-last < int64(p.settings.Window) && view.Norm().Rate(now) >= p.settings.Least
+	last := view.Stats().LastSuccess()
+	return last != 0 && now-last < int64(p.settings.Window) && view.Stats().Rate(now) >= p.settings.Least
 }
 
 // fresh reports whether an answer or a probe told of the instance of late.
--- a/entry/registry/registry_test.go
+++ b/entry/registry/registry_test.go
@@ -40,7 +40,7 @@
 func TestLoadOutlivesAddressAndSilenceButNotTheIncarnation(t *testing.T) {
 	views := &route.Views{}
 	reg := registry.New(views)
-	router := route.NewRouter(views, route.NewLeastCount())
+	router := route.NewRouter(views, route.NewLeastLoaded())
 	inFlight := func() int { return views.Load("s").Members()[0].Load().InFlight() }
 	reg.Update([]registry.Change{announced("i", "s", "a", 1)})
 	ticket, err := router.Acquire(context.Background(), route.NewQuery("s", contract.New(), "caller", ""))
--- a/entry/route/adaptive.go
+++ b/entry/route/adaptive.go
@@ -10,7 +10,7 @@
 // Adaptive is the policy "adaptive": the lowest expected time to the answer,
 // among the members that are below their limit of requests in flight. Requests
 // that find none wait at this host.
-type Adaptive = Lowest[*expected]
+type Adaptive = LowestScore[*expected]
 
 // expected is the expected time to the answer in nanoseconds: the instance's
 // service time, times its queue once its slots are full, and the way to another
@@ -26,11 +26,11 @@
 
 // Defaults of the policy.
 const (
-	DefaultHeadroom = 3
-	DefaultWeight   = 0.5
-	DefaultZoneCost = time.Millisecond
-	DefaultReports  = 0.5
-	defaultIdle     = 0.5
+	DefaultHeadroom      = 3
+	DefaultLatencyWeight = 0.5
+	DefaultZoneCost      = time.Millisecond
+	DefaultReportWeight  = 0.5
+	defaultIdle          = 0.5
 )
 
 // AdaptiveOption changes one property of the policy.
@@ -52,16 +52,16 @@
 	return func(e *expected) { e.zoneCost = float64(d) }
 }
 
-// WithReports sets how much the requests of other hosts weigh that instances
+// WithReportWeight sets how much the requests of other hosts weigh that instances
 // report, from 0 to 1.
-func WithReports(w float64) AdaptiveOption { return func(e *expected) { e.reports = w } }
+func WithReportWeight(w float64) AdaptiveOption { return func(e *expected) { e.reports = w } }
 
-// WithIdleCost sets the cost of each busy slot as a share of the service time.
-func WithIdleCost(share float64) AdaptiveOption { return func(e *expected) { e.idle = share } }
+// WithBusySlotCost sets the cost of each busy slot as a share of the service time.
+func WithBusySlotCost(share float64) AdaptiveOption { return func(e *expected) { e.idle = share } }
 
 // NewAdaptive returns the policy with the given properties.
 func NewAdaptive(opts ...AdaptiveOption) *Adaptive {
-	e := &expected{headroom: DefaultHeadroom, weight: DefaultWeight, zoneCost: float64(DefaultZoneCost), reports: DefaultReports, idle: defaultIdle}
+	e := &expected{headroom: DefaultHeadroom, weight: DefaultLatencyWeight, zoneCost: float64(DefaultZoneCost), reports: DefaultReportWeight, idle: defaultIdle}
 	for _, opt := range opts {
 		opt(e)
 	}
--- a/entry/route/admission.go
+++ b/entry/route/admission.go
@@ -36,7 +36,7 @@
 func (p *pass) leave() {
 	for n, c := range p.callers {
 		if c != nil {
-			c.Leave()
+			c.Release()
 			p.callers[n] = nil
 		}
 	}
@@ -94,7 +94,7 @@
 	if most == 0 {
 		return nil
 	}
-	if !c.Enter(max(int(float64(most)*share), 1)) {
+	if !c.TryAcquire(max(int(float64(most)*share), 1)) {
 		return outcome.New(outcome.NotRun, outcome.CallerLimit, "the caller has as many requests in flight as it may")
 	}
 	*held = c
--- a/entry/route/aims.go
+++ b/entry/route/aims.go
@@ -115,7 +115,7 @@
 func (d *Dispatcher) lateRoom(view *View) int {
 	gap := view.norm.gap.get()
 	if gap == 0 {
-		return d.router.limits.Waiting
+		return d.router.limits.QueueLength
 	}
 	return max(int(float64(lateSpan)/gap), 1)
 }
--- a/entry/route/aims_test.go
+++ b/entry/route/aims_test.go
@@ -48,7 +48,7 @@
 
 // offer queues a request and notes when its turn comes, or that it is refused.
 func offer(r *route.Router, name string, aim, deadline time.Duration, order *turns, terms *contract.Contract) {
-	q := route.NewQuery(service, terms, "", "").Before(time.Now().Add(deadline)).Aiming(time.Now().Add(aim))
+	q := route.NewQuery(service, terms, "", "").WithDeadline(time.Now().Add(deadline)).WithSoftDeadline(time.Now().Add(aim))
 	_, _, err := r.Offer(q, func(ticket *route.Ticket, err error) {
 		if err != nil {
 			order.add(name + " refused")
@@ -121,8 +121,8 @@
 	views.Store(map[string]*route.View{service: route.NewView(service, members)})
 	now := int64(time.Hour)
 	r := route.NewRouter(views, route.NewAdaptive(route.WithFill(0.8)), route.WithClock(func() int64 { return now }))
-	r.Probed(members[0], route.ProbeReport{Answered: true, Told: true, Speed: 4})
-	r.Probed(members[1], route.ProbeReport{Answered: true, Told: true, Speed: 1})
+	r.RecordProbe(members[0], route.ProbeReport{Answered: true, HasLoad: true, Slowdown: 4})
+	r.RecordProbe(members[1], route.ProbeReport{Answered: true, HasLoad: true, Slowdown: 1})
 	var chosen []instance.ID
 	for range 5 {
 		ticket, waiter, err := r.Offer(query(), func(*route.Ticket, error) {})
@@ -144,7 +144,7 @@
 	views.Store(map[string]*route.View{service: route.NewView(service, members)})
 	r := route.NewRouter(views, route.NewAdaptive())
 	for range 3 {
-		r.Probed(members[0], route.ProbeReport{})
+		r.RecordProbe(members[0], route.ProbeReport{})
 	}
 	must.Eq(t, route.Ejected, members[0].State(time.Now().UnixNano()))
 }
@@ -162,7 +162,7 @@
 		views.Store(map[string]*route.View{service: route.NewView(service, []route.Member{
 			route.NewMember(instance.New("a", service, "", instance.WithSlots(1000)), &route.Load{}),
 		})})
-		r := route.NewRouter(views, route.NewLeastCount(), route.WithClock(func() int64 { return now }),
+		r := route.NewRouter(views, route.NewLeastLoaded(), route.WithClock(func() int64 { return now }),
 			route.WithTerms(func(string) *contract.Service { return c.terms }))
 		got := 0
 		for r.Try(query()) != nil {
@@ -177,7 +177,7 @@
 		r := taught(t)
 		_, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
-		_, err = r.Acquire(t.Context(), query().Before(time.Now().Add(usual/2)).Aiming(time.Now()))
+		_, err = r.Acquire(t.Context(), query().WithDeadline(time.Now().Add(usual/2)).WithSoftDeadline(time.Now()))
 		must.Eq(t, outcome.Overload, reasonOf(err))
 	})
 }
--- a/entry/route/baseline.go
+++ b/entry/route/baseline.go
@@ -15,7 +15,7 @@
 
 // NewRandomChoice returns the policy "random".
 func NewRandomChoice() Policy {
-	return &Lowest[constant]{name: contract.PolicyRandom, why: "drawn at random", sample: 1}
+	return &LowestScore[constant]{name: contract.PolicyRandom, why: "drawn at random", sample: 1}
 }
 
 // ownCount is this host's own requests in flight for each slot.
@@ -25,16 +25,16 @@
 	return float64(m.load.InFlight()) / float64(m.instance.Slots()), true
 }
 
-// NewLeastCount returns the policy "least": the fewest of this host's own
+// NewLeastLoaded returns the policy "least": the fewest of this host's own
 // requests in flight for each slot.
-func NewLeastCount() Policy {
-	return &Lowest[ownCount]{name: contract.PolicyLeast, why: "fewest own requests in flight a slot"}
+func NewLeastLoaded() Policy {
+	return &LowestScore[ownCount]{name: contract.PolicyLeast, why: "fewest own requests in flight a slot"}
 }
 
 // NewPowerOfTwo returns the policy "powerOfTwo": the better of two random
 // members by this host's own count.
 func NewPowerOfTwo() Policy {
-	return &Lowest[ownCount]{name: contract.PolicyPowerOfTwo, why: "the less loaded of two drawn at random", sample: 2}
+	return &LowestScore[ownCount]{name: contract.PolicyPowerOfTwo, why: "the less loaded of two drawn at random", sample: 2}
 }
 
 // peakLatency is the peak-sensitive average latency times the own count.
@@ -51,7 +51,7 @@
 // NewPeakEWMA returns the policy "peakEWMA": the better of two random members
 // by peak-sensitive average latency times requests in flight.
 func NewPeakEWMA() Policy {
-	return &Lowest[peakLatency]{name: contract.PolicyPeakEWMA, why: "lower peak latency times own count, of two drawn at random", sample: 2}
+	return &LowestScore[peakLatency]{name: contract.PolicyPeakEWMA, why: "lower peak latency times own count, of two drawn at random", sample: 2}
 }
 
 // roundRobin takes the members in turn.
@@ -63,8 +63,8 @@
 // Name returns the policy's name.
 func (*roundRobin) Name() string { return contract.PolicyRoundRobin }
 
-// Why says what makes a member the chosen one.
-func (*roundRobin) Why() string { return "next in turn" }
+// Reason says what makes a member the chosen one.
+func (*roundRobin) Reason() string { return "next in turn" }
 
 // Choose returns the next member that takes requests.
 func (p *roundRobin) Choose(view *View, query *Query, now int64, _ Random, trace *Trace) int {
@@ -93,7 +93,7 @@
 	contract.PolicyAdaptive:   func() Policy { return NewAdaptive() },
 	contract.PolicyRandom:     NewRandomChoice,
 	contract.PolicyRoundRobin: NewRoundRobin,
-	contract.PolicyLeast:      NewLeastCount,
+	contract.PolicyLeast:      NewLeastLoaded,
 	contract.PolicyPowerOfTwo: NewPowerOfTwo,
 	contract.PolicyPeakEWMA:   NewPeakEWMA,
 }
--- a/entry/route/dispatcher.go
+++ b/entry/route/dispatcher.go
@@ -24,7 +24,7 @@
 }
 
 func newDispatcher(r *Router, service string) *Dispatcher {
-	return &Dispatcher{router: r, service: service, queue: newWaitlist(r.limits.Bypass), limits: newAdmission()}
+	return &Dispatcher{router: r, service: service, queue: newWaitlist(r.limits.MaxBypass), limits: newAdmission()}
 }
 
 // offer gives out a ticket at once, or queues the request.
@@ -102,7 +102,7 @@
 	t.member = view.members[at]
 	n := t.member.load.inFlight.Add(1)
 	d.limits.inFlight.Add(1)
-	t.dispatcher, t.policy, t.why, t.level = d, policy.Name(), policy.Why(), float64(n)
+	t.dispatcher, t.policy, t.why, t.level = d, policy.Name(), policy.Reason(), float64(n)
 	t.work = t.member.load.pace.now(now)
 	return t, at
 }
--- a/entry/route/learn.go
+++ b/entry/route/learn.go
@@ -8,27 +8,27 @@
 	slots := float64(t.member.instance.Slots())
 	most := slots + maxHeadroom
 	view := d.router.views.Load(d.service)
-	if report.HasReport && !report.Failed {
-		load.compare(report.Reported, float64(report.Latency), expectedAt(view, report.Reported, slots))
-		load.SetReported(report.Reported, now)
+	if report.HasReportedLoad && !report.Failed {
+		load.compare(report.ReportedLoad, float64(report.Latency), expectedAt(view, report.ReportedLoad, slots))
+		load.SetReported(report.ReportedLoad, now)
 	}
 	norm := normOf(view)
-	if report.Speed > 0 {
-		load.setSpeed(report.Speed, now)
+	if report.Slowdown > 0 {
+		load.setSpeed(report.Slowdown, now)
 		if view != nil {
-			view.norm.told(report.Speed)
+			view.norm.told(report.Slowdown)
 		}
 	}
-	if report.Beaten {
+	if report.HedgeCancelled {
 		load.atLeast(load.pace.since(t.work, float64(report.Latency), now), now)
 		return
 	}
-	if report.Refused && !report.Lost {
+	if report.Refused && !report.ConnectionLost {
 		load.shrink(most)
 		load.addPenalty(1, norm, now)
 		return
 	}
-	if report.Failed || report.Lost {
+	if report.Failed || report.ConnectionLost {
 		load.shrink(most)
 		load.addPenalty(slots, norm, now)
 		if load.health.fail(now) {
--- a/entry/route/load.go
+++ b/entry/route/load.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// Norm is the level of a whole service as this host sees it.
-type Norm struct {
+// ServiceStats is the level of a whole service as this host sees it.
+type ServiceStats struct {
 	latency value // mean service time, nanoseconds
 	spread  value // mean deviation of the latency, nanoseconds
 	gap     value // mean time between completions, nanoseconds
@@ -59,19 +59,19 @@
 }
 
 // Latency returns the mean service time in nanoseconds, 0 if unknown.
-func (n *Norm) Latency() float64 { return n.latency.get() }
+func (n *ServiceStats) Latency() float64 { return n.latency.get() }
 
-// LastAnswer returns when an instance last answered well, 0 if never.
-func (n *Norm) LastAnswer() int64 { return n.last.Load() }
+// LastSuccess returns when an instance last answered well, 0 if never.
+func (n *ServiceStats) LastSuccess() int64 { return n.last.Load() }
 
-func (n *Norm) observe(service float64) {
+func (n *ServiceStats) observe(service float64) {
 	weight := n.answers.weight(normWeight)
 	n.latency.average(service, weight)
 	n.spread.average(math.Abs(service-n.latency.get()), weight)
 }
 
 // told takes a speed that an instance told of.
-func (n *Norm) told(speed float64) { n.speed.average(speed, n.speeds.weight(speedWeight)) }
+func (n *ServiceStats) told(speed float64) { n.speed.average(speed, n.speeds.weight(speedWeight)) }
 
 // samples counts the samples of an average.
 type samples struct{ n atomic.Int64 }
@@ -84,11 +84,11 @@
 const rateSpan = 3 * time.Second
 
 // Rate returns the good answers a second of late.
-func (n *Norm) Rate(now int64) float64 {
+func (n *ServiceStats) Rate(now int64) float64 {
 	return n.rate.get() * math.Exp(-float64(now-n.last.Load())/float64(rateSpan))
 }
 
-func (n *Norm) completed(now int64) {
+func (n *ServiceStats) completed(now int64) {
 	rate := n.Rate(now) + 1/rateSpan.Seconds()
 	n.rate.set(rate)
 	if last := n.last.Swap(now); last != 0 && now > last {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Lies reports whether the instance's reports are ignored.
-func (l *Load) Lies() bool { return l.health.lies.Load() >= liesUntilIgnored }
+// ReportsIgnored reports whether the instance's reports are ignored.
+func (l *Load) ReportsIgnored() bool { return l.health.lies.Load() >= liesUntilIgnored }
 
 // speedHalving is the age at which a told speed counts half: machines that are
 // shared turn slow and fast again several times a second.
@@ -181,9 +181,9 @@
 	return mean + (l.speed.get()-mean)*math.Exp2(-float64(now-at)/float64(speedHalving))
 }
 
-// Probed records a load that a probe was told, and the speed, 0 if it was not
+// RecordProbe records a load that a probe was told, and the speed, 0 if it was not
 // told.
-func (l *Load) Probed(reported int, speed float64, at int64) {
+func (l *Load) RecordProbe(reported int, speed float64, at int64) {
 	l.setSpeed(speed, at)
 	l.others.set(float64(reported) - float64(l.inFlight.Load()))
 	l.SetReported(reported, at)
@@ -192,7 +192,7 @@
 // othersNow returns the requests of other hosts, less the older the report is.
 func (l *Load) othersNow(norm float64, now int64) float64 {
 	at := l.reportedAt.Load()
-	if at == 0 || l.Lies() {
+	if at == 0 || l.ReportsIgnored() {
 		return 0
 	}
 	return max(l.others.get(), 0) * discount(now-at, scaled(reportHalving, norm))
--- a/entry/route/look.go
+++ b/entry/route/look.go
@@ -7,13 +7,13 @@
 	"github.com/snipebeam/snipebeam/world/contract"
 )
 
-// Scout asks an instance for its load. The router waits for the report for a
+// ProbeFunc asks an instance for its load. The router waits for the report for a
 // short time only; the scout bounds its own.
-type Scout func(m Member) ProbeReport
+type ProbeFunc func(m Member) ProbeReport
 
-// WithScout asks a few instances for their load before a request is sent. The
+// WithProbe asks a few instances for their load before a request is sent. The
 // load of shared machines shifts faster than answers and periodic probes tell.
-func WithScout(scout Scout) Option { return func(r *Router) { r.scout = scout } }
+func WithProbe(scout ProbeFunc) Option { return func(r *Router) { r.scout = scout } }
 
 // Constants of looks.
 const (
@@ -26,18 +26,18 @@
 	lookGrace  = 3 * time.Millisecond  // wait for better ones once a good one told
 )
 
-// Look is what was asked of instances before a choice.
-type Look struct {
-	Asked int // instances
-	Told  int // of them, in time
-	Took  time.Duration
+// ProbeStats is what was asked of instances before a choice.
+type ProbeStats struct {
+	Sent      int // instances
+	Completed int // of them, in time
+	Elapsed   time.Duration
 }
 
 // look asks instances for their load until one that works at a usual speed has
 // room. Looks take at most the service's probe budget as a share of the time of
 // the request that they are for, so that they stay under it whatever the rate
 // and however many hosts send requests.
-func (d *Dispatcher) look(ctx context.Context, q *Query) (look Look) {
+func (d *Dispatcher) look(ctx context.Context, q *Query) (look ProbeStats) {
 	view := d.router.views.Load(d.service)
 	if d.router.scout == nil || view == nil || len(view.members) < 2 || d.waiting.Load() > 0 {
 		return look
@@ -48,7 +48,7 @@
 	}
 	from := d.router.clock()
 	for range lookRounds {
-		now, n := d.router.clock(), min(d.looks(view, terms, q)-look.Asked, maxLooks)
+		now, n := d.router.clock(), min(d.looks(view, terms, q)-look.Sent, maxLooks)
 		candidates := d.candidates(view, q)
 		if n <= 0 || settled(candidates, q, view, now) {
 			break
@@ -57,14 +57,14 @@
 		if len(targets) == 0 {
 			break
 		}
-		look.Asked += len(targets)
+		look.Sent += len(targets)
 		told := d.ask(ctx, view, targets, q)
-		look.Told += told
+		look.Completed += told
 		if told == 0 {
 			break // this host's own link is busy
 		}
 	}
-	look.Took = time.Duration(d.router.clock() - from)
+	look.Elapsed = time.Duration(d.router.clock() - from)
 	return look
 }
 
@@ -176,7 +176,7 @@
 			if report.Answered {
 				d.router.looked(float64(d.router.clock() - from))
 			}
-			d.router.Probed(m, report)
+			d.router.RecordProbe(m, report)
 			reports <- struct{}{}
 		}()
 	}
--- a/entry/route/look_test.go
+++ b/entry/route/look_test.go
@@ -40,7 +40,7 @@
 }
 
 func telling(requests int, speed float64) route.ProbeReport {
-	return route.ProbeReport{Answered: true, Healthy: true, Told: true, Requests: requests, Speed: speed}
+	return route.ProbeReport{Answered: true, Healthy: true, HasLoad: true, Requests: requests, Slowdown: speed}
 }
 
 // looking returns a router over instances of which half are in another zone.
@@ -55,7 +55,7 @@
 	views := &route.Views{}
 	views.Store(map[string]*route.View{service: route.NewView(service, members)})
 	terms := contract.NewService(service, contract.WithHealth("/healthz"), contract.WithProbeBudget(budget))
-	return route.NewRouter(views, route.NewAdaptive(route.WithFill(0.8)), route.WithHost("entry-1"), route.WithScout(scout.ask),
+	return route.NewRouter(views, route.NewAdaptive(route.WithFill(0.8)), route.WithHost("entry-1"), route.WithProbe(scout.ask),
 		route.WithTerms(func(string) *contract.Service { return terms }))
 }
 
@@ -78,12 +78,12 @@
 		r := looking(8, scout, 0.1)
 		ticket, err := r.Acquire(t.Context(), aimed())
 		must.NoError(t, err)
-		must.Eq(t, "near-04", ticket.Instance().ID(), must.Sprint(ticket.Look(), scout.all, ticket.Candidates()))
+		must.Eq(t, "near-04", ticket.Instance().ID(), must.Sprint(ticket.Probes(), scout.all, ticket.Candidates()))
 		must.LessEq(t, 8, scout.total())
 		asked := scout.total()
 		ticket, err = r.Acquire(t.Context(), aimed())
 		must.NoError(t, err)
-		must.Eq(t, 0, ticket.Look().Asked, must.Sprint("what was just told is not asked again"))
+		must.Eq(t, 0, ticket.Probes().Sent, must.Sprint("what was just told is not asked again"))
 		must.Eq(t, asked, scout.total())
 	})
 }
@@ -113,8 +113,8 @@
 		ticket, err := r.Acquire(t.Context(), aimed())
 		must.NoError(t, err)
 		must.LessEq(t, 100*time.Millisecond, time.Since(from))
-		must.Eq(t, 0, ticket.Look().Told)
-		must.Eq(t, scout.total(), ticket.Look().Asked)
+		must.Eq(t, 0, ticket.Probes().Completed)
+		must.Eq(t, scout.total(), ticket.Probes().Sent)
 		time.Sleep(time.Hour)
 	})
 }
@@ -134,7 +134,7 @@
 			from := time.Now()
 			ticket, err := r.Acquire(t.Context(), aimed())
 			must.NoError(t, err)
-			if ticket.Look().Told > 0 {
+			if ticket.Probes().Completed > 0 {
 				must.LessEq(t, 10*time.Millisecond, time.Since(from))
 			}
 			time.Sleep(time.Second)
--- a/entry/route/lowest.go
+++ b/entry/route/lowest.go
@@ -8,9 +8,9 @@
 	Score(m *Member, q *Query, norm, speed float64, state State, now int64) (score float64, room bool)
 }
 
-// Lowest chooses the member with the lowest score among all members or among
+// LowestScore chooses the member with the lowest score among all members or among
 // a random sample of them; equal scores are decided at random.
-type Lowest[S Scorer] struct {
+type LowestScore[S Scorer] struct {
 	name   string
 	why    string
 	scorer S
@@ -19,10 +19,10 @@
 }
 
 // Name returns the policy's name.
-func (p *Lowest[S]) Name() string { return p.name }
+func (p *LowestScore[S]) Name() string { return p.name }
 
-// Why says what makes a member the chosen one.
-func (p *Lowest[S]) Why() string { return p.why }
+// Reason says what makes a member the chosen one.
+func (p *LowestScore[S]) Reason() string { return p.why }
 
 // sampleAbove is the number of members from which a policy that looks at all
 // members looks at a random sample instead.
@@ -32,7 +32,7 @@
 )
 
 // Choose returns the position of the member with the lowest score.
-func (p *Lowest[S]) Choose(view *View, query *Query, now int64, random Random, trace *Trace) int {
+func (p *LowestScore[S]) Choose(view *View, query *Query, now int64, random Random, trace *Trace) int {
 	if best := p.first(view, query, now, random, trace); best >= 0 {
 		return best
 	}
@@ -60,7 +60,7 @@
 
 // first returns the best of the members that this host uses first, if one has
 // room.
-func (p *Lowest[S]) first(view *View, query *Query, now int64, random Random, trace *Trace) int {
+func (p *LowestScore[S]) first(view *View, query *Query, now int64, random Random, trace *Trace) int {
 	if len(query.among) == 0 {
 		return NoMember
 	}
@@ -73,7 +73,7 @@
 
 // scan is one pass over members.
 type scan[S Scorer] struct {
-	policy *Lowest[S]
+	policy *LowestScore[S]
 	view   *View
 	query  *Query
 	now    int64
--- a/entry/route/policy.go
+++ b/entry/route/policy.go
@@ -29,8 +29,8 @@
 type Policy interface {
 	// Name returns the name used in settings and rules.
 	Name() string
-	// Why says in a few words what makes a member the chosen one.
-	Why() string
+	// Reason says in a few words what makes a member the chosen one.
+	Reason() string
 	// Choose returns the position of a member, or NoMember, or AllBusy. now is
 	// in Unix nanoseconds; what was known of the candidates is recorded in the
 	// trace unless it is nil.
@@ -46,7 +46,7 @@
 	ReportAge  time.Duration // negative if unknown
 	Latency    time.Duration // normalised service time, 0 if unknown
 	LatencyAge time.Duration // negative if unknown
-	Speed      float64       // multiple of the usual time, as last told; 0 if unknown
+	Slowdown   float64       // multiple of the usual time, as last told; 0 if unknown
 	Busy       bool          // at its limit of requests in flight
 	Score      float64       // the lowest one is chosen
 }
@@ -78,7 +78,7 @@
 	reported, reportedAt := m.load.Reported()
 	t.all[t.n] = Candidate{
 		ID: m.instance.ID(), State: state, InFlight: m.load.InFlight(),
-		Speed: m.load.speed.get(), Reported: reported, ReportAge: ageOf(reportedAt, now), Latency: m.load.Latency(), LatencyAge: ageOf(m.load.serviceAt.Load(), now), Busy: !room, Score: score,
+		Slowdown: m.load.speed.get(), Reported: reported, ReportAge: ageOf(reportedAt, now), Latency: m.load.Latency(), LatencyAge: ageOf(m.load.serviceAt.Load(), now), Busy: !room, Score: score,
 	}
 	t.n++
 }
--- a/entry/route/probed.go
+++ b/entry/route/probed.go
@@ -4,23 +4,23 @@
 type ProbeReport struct {
 	Answered bool
 	Healthy  bool    // as the instance says
-	Told     bool    // the answer told of the load
+	HasLoad  bool    // the answer told of the load
 	Requests int     // in slots and waiting, valid if Told
-	Speed    float64 // time that work takes now, as a multiple of the usual; 0 if not told
+	Slowdown float64 // time that work takes now, as a multiple of the usual; 0 if not told
 }
 
-// Probed learns from a probe. What an instance says of its own health decides
+// RecordProbe learns from a probe. What an instance says of its own health decides
 // nothing; one that does not answer is weighed down, and ejected after some
 // times.
-func (r *Router) Probed(m Member, report ProbeReport) {
+func (r *Router) RecordProbe(m Member, report ProbeReport) {
 	now := r.clock()
 	d := r.Dispatcher(m.instance.Service())
 	view := r.views.Load(m.instance.Service())
 	switch {
-	case report.Told:
-		m.load.Probed(report.Requests, report.Speed, now)
-		if view != nil && report.Speed > 0 {
-			view.norm.told(report.Speed)
+	case report.HasLoad:
+		m.load.RecordProbe(report.Requests, report.Slowdown, now)
+		if view != nil && report.Slowdown > 0 {
+			view.norm.told(report.Slowdown)
 		}
 	case !report.Answered:
 		m.load.addPenalty(1, normOf(view), now)
--- a/entry/route/query.go
+++ b/entry/route/query.go
@@ -24,14 +24,14 @@
 	return Query{service: service, contract: terms, caller: caller, zone: zone, exclude: exclude}
 }
 
-// Before returns the query with the time by which the answer must have begun.
-func (q Query) Before(deadline time.Time) Query {
+// WithDeadline returns the query with the time by which the answer must have begun.
+func (q Query) WithDeadline(deadline time.Time) Query {
 	q.deadline = deadline.UnixNano()
 	return q
 }
 
-// Aiming returns the query with the time by which an answer is worth most.
-func (q Query) Aiming(at time.Time) Query {
+// WithSoftDeadline returns the query with the time by which an answer is worth most.
+func (q Query) WithSoftDeadline(at time.Time) Query {
 	q.aim = at.UnixNano()
 	return q
 }
--- a/entry/route/route.go
+++ b/entry/route/route.go
@@ -37,7 +37,7 @@
 	terms    func(service string) *contract.Service
 	share    func(service string) float64
 	host     string
-	scout    Scout
+	scout    ProbeFunc
 	lookTime value // of a look, nanoseconds
 	clock    func() int64
 	random   Random
@@ -50,15 +50,15 @@
 
 // Limits are the bounds of the queue and of ejection.
 type Limits struct {
-	Waiting    int           // requests of one service that may wait at this host
-	Wait       time.Duration // longest wait
-	Bypass     int           // times that the oldest waiting request may be passed over
-	MaxEjected float64       // share of a service's instances that may be ejected
+	QueueLength int           // requests of one service that may wait at this host
+	MaxWait     time.Duration // longest wait
+	MaxBypass   int           // times that the oldest waiting request may be passed over
+	MaxEjected  float64       // share of a service's instances that may be ejected
 }
 
 // DefaultLimits returns the limits used unless others are given.
 func DefaultLimits() Limits {
-	return Limits{Waiting: 1024, Wait: 10 * time.Second, Bypass: 16, MaxEjected: 0.4}
+	return Limits{QueueLength: 1024, MaxWait: 10 * time.Second, MaxBypass: 16, MaxEjected: 0.4}
 }
 
 // Option changes one property of a router.
@@ -127,7 +127,7 @@
 		ticket.look = look
 		return ticket, nil
 	}
-	limit := time.NewTimer(r.limits.Wait)
+	limit := time.NewTimer(r.limits.MaxWait)
 	defer limit.Stop()
 	select {
 	case g := <-granted:
--- a/entry/route/route_test.go
+++ b/entry/route/route_test.go
@@ -155,21 +155,21 @@
 }
 
 func TestLyingReportIsIgnored(t *testing.T) {
-	f := newFixture(1, route.NewAdaptive(route.WithReports(1)))
+	f := newFixture(1, route.NewAdaptive(route.WithReportWeight(1)))
 	var mine []*route.Ticket
 	for range 6 {
 		ticket, err := f.offer(query())
 		must.NoError(t, err)
 		mine = append(mine, ticket)
 	}
-	must.False(t, f.members[0].Load().Lies())
+	must.False(t, f.members[0].Load().ReportsIgnored())
 	for range 10 {
-		mine[0].Finish(route.Report{Latency: 5 * time.Millisecond, HasReport: true})
+		mine[0].Finish(route.Report{Latency: 5 * time.Millisecond, HasReportedLoad: true})
 		var err error
 		mine[0], err = f.offer(query())
 		must.NoError(t, err)
 	}
-	must.True(t, f.members[0].Load().Lies())
+	must.True(t, f.members[0].Load().ReportsIgnored())
 }
 
 func TestDecisionNamesItsCandidates(t *testing.T) {
@@ -177,7 +177,7 @@
 	f.change(3, instance.WithDraining(true))
 	first, err := f.offer(query())
 	must.NoError(t, err)
-	first.Finish(route.Report{Latency: 7 * time.Millisecond, HasReport: true, Reported: 2})
+	first.Finish(route.Report{Latency: 7 * time.Millisecond, HasReportedLoad: true, ReportedLoad: 2})
 	f.now += int64(9 * time.Millisecond)
 	ticket, err := f.offer(query())
 	must.NoError(t, err)
--- a/entry/route/shed.go
+++ b/entry/route/shed.go
@@ -36,7 +36,7 @@
 
 // room returns the queue's length from which a request is refused.
 func (d *Dispatcher) room(q *Query) int {
-	room := float64(d.router.limits.Waiting)
+	room := float64(d.router.limits.QueueLength)
 	if q.contract == nil {
 		return int(room)
 	}
--- a/entry/route/ticket.go
+++ b/entry/route/ticket.go
@@ -9,15 +9,15 @@
 
 // Report is what came of one attempt.
 type Report struct {
-	Latency time.Duration // from dispatch to the first byte of the answer
-	Failed  bool          // the answer is an error of the instance, or there is none
-	Lost    bool          // the link broke or went silent
-	Refused bool          // the instance did not start it
-	Beaten  bool          // it was cancelled, since another instance answered first
-	// Reported is the load that the answer carried, valid if HasReport.
-	Reported  int
-	HasReport bool
-	Speed     float64 // time that work takes now, as a multiple of the usual; 0 if not told
+	Latency        time.Duration // from dispatch to the first byte of the answer
+	Failed         bool          // the answer is an error of the instance, or there is none
+	ConnectionLost bool          // the link broke or went silent
+	Refused        bool          // the instance did not start it
+	HedgeCancelled bool          // it was cancelled, since another instance answered first
+	// ReportedLoad is the load that the answer carried, valid if HasReport.
+	ReportedLoad    int
+	HasReportedLoad bool
+	Slowdown        float64 // time that work takes now, as a multiple of the usual; 0 if not told
 }
 
 // Ticket is the right to send one attempt to one instance.
@@ -29,7 +29,7 @@
 	work       float64 // that the instance could have done when this one was sent
 	level      float64 // requests at the instance when this one was sent, itself included
 	waited     time.Duration
-	look       Look
+	look       ProbeStats
 	held       pass
 	trace      *Trace
 }
@@ -43,8 +43,8 @@
 // Waited returns how long the request waited for the instance.
 func (t *Ticket) Waited() time.Duration { return t.waited }
 
-// Look returns what was asked of instances before the choice.
-func (t *Ticket) Look() Look { return t.look }
+// Probes returns what was asked of instances before the choice.
+func (t *Ticket) Probes() ProbeStats { return t.look }
 
 // Candidates returns what was known of the instances that were weighed.
 func (t *Ticket) Candidates() []Candidate {
@@ -74,7 +74,7 @@
 func (c Candidate) explain() decision.Candidate {
 	line := decision.Candidate{
 		Instance: string(c.ID), State: c.State.String(), InFlight: c.InFlight,
-		Score: c.Score, Speed: c.Speed, LatencyNs: int64(c.Latency), LatencyAgeNs: int64(max(c.LatencyAge, 0)),
+		Score: c.Score, Speed: c.Slowdown, LatencyNs: int64(c.Latency), LatencyAgeNs: int64(max(c.LatencyAge, 0)),
 	}
 	if c.ReportAge >= 0 {
 		line.Reported, line.KnownAgeNs = c.Reported, int64(c.ReportAge)
--- a/entry/route/view.go
+++ b/entry/route/view.go
@@ -26,12 +26,12 @@
 type View struct {
 	service string
 	members []Member
-	norm    *Norm
+	norm    *ServiceStats
 }
 
 // NewView returns a view of a service.
 func NewView(service string, members []Member) *View {
-	return &View{service: service, members: members, norm: &Norm{}}
+	return &View{service: service, members: members, norm: &ServiceStats{}}
 }
 
 // Service returns the service's name.
@@ -40,15 +40,15 @@
 // Members returns the instances.
 func (v *View) Members() []Member { return v.members }
 
-// Norm returns the service's own level of latency.
-func (v *View) Norm() *Norm { return v.norm }
+// Stats returns the service's own level of latency.
+func (v *View) Stats() *ServiceStats { return v.norm }
 
 // Views holds the current view of each service.
 type Views struct {
 	current atomic.Pointer[map[string]*View]
 
 	mu       sync.Mutex
-	norms    map[string]*Norm
+	norms    map[string]*ServiceStats
 	watchers []func()
 }
 
@@ -56,7 +56,7 @@
 func (v *Views) Store(views map[string]*View) {
 	v.mu.Lock()
 	if v.norms == nil {
-		v.norms = map[string]*Norm{}
+		v.norms = map[string]*ServiceStats{}
 	}
 	for service, view := range views {
 		if v.norms[service] == nil {
--- a/entry/route/wait_test.go
+++ b/entry/route/wait_test.go
@@ -53,7 +53,7 @@
 func TestWaitingIsBoundedInNumberAndTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := route.DefaultLimits()
-		limits.Waiting, limits.Wait = 10, time.Second
+		limits.QueueLength, limits.MaxWait = 10, time.Second
 		r := realTime(1, 0, route.WithLimits(limits))
 		_, err := r.Acquire(t.Context(), query())
 		must.NoError(t, err)
@@ -102,7 +102,7 @@
 func TestNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := route.DefaultLimits()
-		limits.Bypass = rapid.IntRange(1, 8).Draw(t, "bypass")
+		limits.MaxBypass = rapid.IntRange(1, 8).Draw(t, "bypass")
 		f := newFixture(1, route.NewAdaptive(route.WithHeadroom(0)), route.WithLimits(limits))
 		f.change(0, instance.WithSlots(1))
 		running, err := f.offer(query())
@@ -118,7 +118,7 @@
 				}
 				terms := contract.New(contract.WithPriority(contract.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))))
 				deadline := f.now + rapid.Int64Range(int64(time.Minute), int64(time.Hour)).Draw(t, "deadline")
-				q := route.NewQuery(service, terms, strconv.Itoa(id%3), "").Before(time.Unix(0, deadline))
+				q := route.NewQuery(service, terms, strconv.Itoa(id%3), "").WithDeadline(time.Unix(0, deadline))
 				ahead[id], waiting[id] = len(waiting), 0
 				_, _, err := f.router.Offer(q, func(ticket *route.Ticket, err error) {
 					must.NoError(t, err)
@@ -134,7 +134,7 @@
 			running = nil
 			done.Finish(good)
 			for id, passed := range waiting {
-				must.LessEq(t, (ahead[id]+1)*(limits.Bypass+1), passed)
+				must.LessEq(t, (ahead[id]+1)*(limits.MaxBypass+1), passed)
 			}
 			if running == nil {
 				running, err = f.offer(query())
@@ -157,7 +157,7 @@
 		_, err := f.offer(query())
 		must.NoError(t, err)
 	}
-	_, err := f.offer(query().Before(time.Unix(0, f.now+int64(15*time.Millisecond))))
+	_, err := f.offer(query().WithDeadline(time.Unix(0, f.now+int64(15*time.Millisecond))))
 	must.Eq(t, outcome.Overload, reasonOf(err))
 }
 
--- a/entry/upstream/exchange.go
+++ b/entry/upstream/exchange.go
@@ -48,8 +48,8 @@
 // SendOption changes how one request is sent.
 type SendOption func(*Exchange)
 
-// WithInform sets who is told of interim answers.
-func WithInform(inform func(code int, header http.Header)) SendOption {
+// WithInterimHandler sets who is told of interim answers.
+func WithInterimHandler(inform func(code int, header http.Header)) SendOption {
 	return func(e *Exchange) { e.inform = inform }
 }
 
@@ -59,9 +59,9 @@
 	return func(e *Exchange) { e.header, e.identity = header, identity }
 }
 
-// WithUnframed takes an answer without a length that ends with its link, which
+// WithCloseDelimited takes an answer without a length that ends with its link, which
 // is whole unless the link was reset.
-func WithUnframed() SendOption { return func(e *Exchange) { e.unframed = true } }
+func WithCloseDelimited() SendOption { return func(e *Exchange) { e.unframed = true } }
 
 // WithMaxIdle allows only links that were used within a time, 0 for new ones.
 func WithMaxIdle(d time.Duration) SendOption { return func(e *Exchange) { e.maxIdle = d } }
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -187,8 +187,8 @@
 	return true
 }
 
-// Connects reports whether a new link to the instance can be opened.
-func (p *Pool) Connects(ctx context.Context, address string) bool {
+// CanConnect reports whether a new link to the instance can be opened.
+func (p *Pool) CanConnect(ctx context.Context, address string) bool {
 	conn, err := p.dial(ctx, address)
 	if err != nil {
 		return false
--- a/entry/upstream/pool_test.go
+++ b/entry/upstream/pool_test.go
@@ -333,7 +333,7 @@
 	}
 	_, err := fetch(t, pool, i.address(), "/")
 	must.Eq(t, upstream.Silent, failureOf(t, err).Cause())
-	must.True(t, pool.Connects(t.Context(), i.address()))
+	must.True(t, pool.CanConnect(t.Context(), i.address()))
 	_, idle := pool.Links(i.address())
 	must.Eq(t, 0, idle)
 	_, err = fetch(t, pool, i.address(), "/")
--- a/entry/upstream/stray_test.go
+++ b/entry/upstream/stray_test.go
@@ -55,7 +55,7 @@
 			}
 			_ = conn.Close()
 		})
-		body, err := identified(t, upstream.NewPool(), i.address(), upstream.WithUnframed())
+		body, err := identified(t, upstream.NewPool(), i.address(), upstream.WithCloseDelimited())
 		must.Eq(t, reset, err != nil)
 		if !reset {
 			must.Eq(t, want, body)
