--- a/bench/call/poison.go
+++ b/bench/call/poison.go
@@ -55,9 +55,9 @@
 		all = append(all, f)
 		go func() { _ = (&http.Server{Handler: f, ReadHeaderTimeout: time.Minute}).Serve(f.listener) }()
 	}
-	books := make([]*poison.Book, hosts)
+	books := make([]*poison.Tracker, hosts)
 	for n := range hosts {
-		books[n] = poison.NewBook(poison.WithShare(func(_ context.Context, suspects []*wire.Suspect) {
+		books[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
 			for other := range books {
 				if other != n {
 					books[other].Merge(suspects, time.Now())
--- a/bench/call/trial.go
+++ b/bench/call/trial.go
@@ -129,7 +129,7 @@
 		t.open(n)
 	}
 	for n := range Hosts {
-		t.hosts = append(t.hosts, t.start(n, poison.NewBook()))
+		t.hosts = append(t.hosts, t.start(n, poison.NewTracker()))
 	}
 	return t
 }
@@ -145,7 +145,7 @@
 	go func() { _ = (&http.Server{Handler: i, ReadHeaderTimeout: time.Minute}).Serve(l) }()
 }
 
-func (t *Trial) start(n int, suspects *poison.Book) *host {
+func (t *Trial) start(n int, suspects *poison.Tracker) *host {
 	views := &route.Views{}
 	var members []route.Member
 	for k := range t.instanceCount {
@@ -164,7 +164,7 @@
 	h.settler = control.NewSettler(h.claims)
 	h.server = &http.Server{ReadHeaderTimeout: time.Minute, Handler: caller.New(caller.Config{
 		Host: fmt.Sprint("entry-", n), Table: table, Router: route.NewRouter(views, route.NewLeastLoaded()), Pool: h.pool,
-		Claims: h.claims, Settler: h.settler, Suspects: suspects, Backlog: backlog.NewBook(), Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &atomic.Bool{},
+		Claims: h.claims, Settler: h.settler, Suspects: suspects, Backlog: backlog.NewTracker(), Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &atomic.Bool{},
 	})}
 	go func() { _ = h.server.Serve(h.listener) }()
 	return h
@@ -177,7 +177,7 @@
 	h.listener.kill()
 	_ = h.server.Close()
 	h.pool.Close()
-	t.hosts[n] = t.start(n, poison.NewBook())
+	t.hosts[n] = t.start(n, poison.NewTracker())
 }
 
 // Run runs a script and returns what it showed.
--- a/bench/queue/queue.go
+++ b/bench/queue/queue.go
@@ -77,8 +77,8 @@
 	}
 	q.now = until
 	return backlog.Sample{
-		At: start.Add(q.now), Present: q.Present(), Floor: q.floor, Arrivals: q.arrivals,
-		Completions: q.completions, Oldest: q.oldest(), Typical: q.quantile(),
+		At: start.Add(q.now), Pending: q.Present(), MinPending: q.floor, Arrivals: q.arrivals,
+		Completions: q.completions, OldestAge: q.oldest(), ResponseP99: q.quantile(),
 	}
 }
 
--- a/bench/scrape.go
+++ b/bench/scrape.go
@@ -43,9 +43,9 @@
 }
 
 func exporterOf(size fleetSize) *prometheus.Exporter {
-	book := backlog.NewBook()
+	book := backlog.NewTracker()
 	for s := range size.services {
-		book.Arrive(serviceName(s), time.Now())
+		book.Track(serviceName(s), time.Now())
 	}
 	return prometheus.New(prometheus.Parts{
 		Table: rules.NewTable(), Views: viewsOf(size), Book: book,
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -36,7 +36,7 @@
 
 func newNode(cfg *settings.Settings, logger hclog.Logger, ring *key.Ring, operators operatorRing, r *replica, current *seeds, machine *state.Machine) (*peer.Node, error) {
 	return peer.New(peer.Config{
-		Name: cfg.Host.Name, Address: cfg.Listen.Peers, Initial: initialHosts(cfg),
+		Name: cfg.Host.Name, Address: cfg.Listen.Peers, InitialHosts: initialHosts(cfg),
 		Seeds: current.Seeds, Voters: cfg.Quorum.Voters(),
 		Tick:          time.Duration(cfg.Quorum.TickMs) * time.Millisecond,
 		ElectionTicks: cfg.Quorum.ElectionTicks, HeartbeatTicks: cfg.Quorum.HeartbeatTicks,
@@ -76,7 +76,7 @@
 			return nil
 		},
 		OnStop: func(stop context.Context) error {
-			node.HandOver(stop)
+			node.TransferLeadership(stop)
 			cancel()
 			<-done
 			return r.store.Close()
--- a/control/peer/form.go
+++ b/control/peer/form.go
@@ -33,18 +33,18 @@
 	if n.store.Identity().GetGroup() != "" {
 		return nil
 	}
-	if len(n.cfg.Initial) == 0 || n.cfg.Initial[0].Name != n.cfg.Name {
+	if len(n.cfg.InitialHosts) == 0 || n.cfg.InitialHosts[0].Name != n.cfg.Name {
 		n.logger.Info("this control host waits to be taken into a group", "identity", n.replica.ID())
 		return nil
 	}
-	n.logger.Info("waiting for the control hosts of the first membership", "hosts", len(n.cfg.Initial))
+	n.logger.Info("waiting for the control hosts of the first membership", "hosts", len(n.cfg.InitialHosts))
 	for ctx.Err() == nil && n.store.Identity().GetGroup() == "" {
 		members, formed := n.gather(ctx)
 		if formed {
 			n.logger.Warn("a group exists already: this replica must be added to it", "identity", n.replica.ID())
 			return nil
 		}
-		if len(members) == len(n.cfg.Initial) {
+		if len(members) == len(n.cfg.InitialHosts) {
 			return n.found(members)
 		}
 		pause.For(ctx, n.cfg.electionTime())
@@ -55,7 +55,7 @@
 // gather asks every host of the initial membership for its identity. It
 // reports whether one of them belongs to a group.
 func (n *Node) gather(ctx context.Context) (members []*wire.Member, formed bool) {
-	for _, host := range n.cfg.Initial {
+	for _, host := range n.cfg.InitialHosts {
 		identity, name := n.store.Identity().GetIdentity(), host.Name
 		if host.Name != n.cfg.Name {
 			answer, err := n.hello(ctx, host.Address)
--- a/control/peer/group_test.go
+++ b/control/peer/group_test.go
@@ -79,7 +79,7 @@
 	must.NoError(g.t, err)
 	h.store, h.machine = store, state.New()
 	h.node, err = peer.New(peer.Config{
-		Name: h.name, Initial: g.initial(), Tick: 5 * time.Millisecond, ElectionTicks: 30, HeartbeatTicks: 3,
+		Name: h.name, InitialHosts: g.initial(), Tick: 5 * time.Millisecond, ElectionTicks: 30, HeartbeatTicks: 3,
 		Logger: hclog.NewNullLogger(),
 	}, store, saved, h.machine)
 	must.NoError(g.t, err)
--- a/control/peer/peer.go
+++ b/control/peer/peer.go
@@ -41,7 +41,7 @@
 type Config struct {
 	Name           string
 	Address        string          // of this host's peers listener, for others
-	Initial        []Host          // first membership; its first host forms the group
+	InitialHosts   []Host          // first membership; its first host forms the group
 	Seeds          func() []string // addresses at which a replica asks to be taken in, as set now; nil: it waits to be added
 	Voters         int             // that the leader keeps without an operator, 0 to leave the membership as it is
 	Tick           time.Duration
--- a/control/peer/peer_test.go
+++ b/control/peer/peer_test.go
@@ -93,7 +93,7 @@
 	g.submit(g.hosts[0], 0)
 	old := g.leader()
 	term := old.node.Status().Term()
-	old.node.HandOver(context.Background())
+	old.node.TransferLeadership(context.Background())
 	old.stop()
 	next := g.leader()
 	must.NotEq(t, old.name, next.name)
--- a/control/peer/stop.go
+++ b/control/peer/stop.go
@@ -11,9 +11,9 @@
 // successor.
 const handOverTimes = 3
 
-// HandOver gives the leadership to another voter, if this host has it, and
+// TransferLeadership gives the leadership to another voter, if this host has it, and
 // waits until it is gone or the time for it is over.
-func (n *Node) HandOver(ctx context.Context) {
+func (n *Node) TransferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimes*n.cfg.electionTime())
 	defer cancel()
 	if err := n.call(ctx, func() error { return n.replica.Transfer("") }); err != nil {
--- a/entry/backlog/backlog_test.go
+++ b/entry/backlog/backlog_test.go
@@ -13,21 +13,21 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func terms(string) backlog.Terms {
-	return backlog.Terms{
+func terms(string) backlog.AlarmConfig {
+	return backlog.AlarmConfig{
 		Owner: "Comptoir", Reason: "lookups", Limits: backlog.Limits{Slots: 30},
 		Slots: func(instance.ID) int { return 3 },
 	}
 }
 
 func TestStayMovesFromQueueToInstanceToEnd(t *testing.T) {
-	book := backlog.NewBook()
-	stay := book.Arrive("catalogue", begin)
+	book := backlog.NewTracker()
+	stay := book.Track("catalogue", begin)
 	line := book.Services(begin.Add(time.Second))[0]
 	must.Eq(t, 1, line.GetQueued())
 	must.Eq(t, int64(time.Second), line.GetOldestNs())
 
-	stay.Start("catalogue-1", begin)
+	stay.Dispatched("catalogue-1", begin)
 	stay.Sent(begin)
 	line = book.Services(begin)[0]
 	must.Eq(t, 0, line.GetQueued())
@@ -41,12 +41,12 @@
 
 // drive sends a request to one instance every interval for a time; the
 // instance answers none of them.
-func drive(book *backlog.Book, watch *backlog.Watch, from time.Time, d, interval time.Duration, sent bool) {
+func drive(book *backlog.Tracker, watch *backlog.Monitor, from time.Time, d, interval time.Duration, sent bool) {
 	next := from
 	for now := from; now.Before(from.Add(d)); now = now.Add(backlog.SampleInterval) {
 		for next.Before(now) {
-			stay := book.Arrive("catalogue", next)
-			stay.Start("catalogue-1", next)
+			stay := book.Track("catalogue", next)
+			stay.Dispatched("catalogue-1", next)
 			if sent {
 				stay.Sent(next)
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-func growing(book *backlog.Book, now time.Time) []*wire.ServiceBacklog {
+func growing(book *backlog.Tracker, now time.Time) []*wire.ServiceBacklog {
 	var all []*wire.ServiceBacklog
 	for _, line := range book.Services(now) {
 		if line.GetGrowing() {
@@ -67,8 +67,8 @@
 }
 
 func TestAnInstanceThatStopsAnsweringIsSeenWithItsOwner(t *testing.T) {
-	book := backlog.NewBook()
-	watch := backlog.NewWatch(book, terms, hclog.NewNullLogger())
+	book := backlog.NewTracker()
+	watch := backlog.NewMonitor(book, terms, hclog.NewNullLogger())
 	drive(book, watch, begin, 2*time.Second, 5*time.Millisecond, true)
 	found := growing(book, begin.Add(2*time.Second))
 	must.SliceNotEmpty(t, found)
@@ -77,19 +77,19 @@
 }
 
 func TestUploadsOnTheirWayAreNoBacklog(t *testing.T) {
-	book := backlog.NewBook()
-	watch := backlog.NewWatch(book, terms, hclog.NewNullLogger())
+	book := backlog.NewTracker()
+	watch := backlog.NewMonitor(book, terms, hclog.NewNullLogger())
 	drive(book, watch, begin, 5*time.Second, 5*time.Millisecond, false)
 	must.SliceEmpty(t, growing(book, begin.Add(5*time.Second)))
 }
 
 func TestAnAlarmOutlivesARestartAndClearsWhenCalm(t *testing.T) {
-	before := backlog.NewBook()
-	drive(before, backlog.NewWatch(before, terms, hclog.NewNullLogger()), begin, 2*time.Second, 5*time.Millisecond, true)
+	before := backlog.NewTracker()
+	drive(before, backlog.NewMonitor(before, terms, hclog.NewNullLogger()), begin, 2*time.Second, 5*time.Millisecond, true)
 
-	after := backlog.NewBook()
-	after.Adopt(before.Services(begin.Add(2 * time.Second)))
-	watch := backlog.NewWatch(after, terms, hclog.NewNullLogger())
+	after := backlog.NewTracker()
+	after.RestoreAlarms(before.Services(begin.Add(2 * time.Second)))
+	watch := backlog.NewMonitor(after, terms, hclog.NewNullLogger())
 	restarted := begin.Add(3 * time.Second)
 	watch.Sample(restarted)
 	must.SliceNotEmpty(t, growing(after, restarted))
--- a/entry/backlog/book.go
+++ b/entry/backlog/book.go
@@ -24,19 +24,19 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Book holds the accounts of all services.
-type Book struct {
+// Tracker holds the accounts of all services.
+type Tracker struct {
 	mu       sync.RWMutex
 	accounts map[string]*account
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{accounts: map[string]*account{}} }
+// NewTracker returns an empty book.
+func NewTracker() *Tracker { return &Tracker{accounts: map[string]*account{}} }
 
-// Arrive records a request's arrival.
-func (b *Book) Arrive(service string, now time.Time) *Stay {
+// Track records a request's arrival.
+func (b *Tracker) Track(service string, now time.Time) *Request {
 	a := b.account(service)
-	s := &Stay{account: a, arrivedAt: now}
+	s := &Request{account: a, arrivedAt: now}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.queued.add(s)
@@ -44,7 +44,7 @@
 	return s
 }
 
-func (b *Book) account(service string) *account {
+func (b *Tracker) account(service string) *account {
 	b.mu.RLock()
 	a := b.accounts[service]
 	b.mu.RUnlock()
@@ -60,7 +60,7 @@
 	return a
 }
 
-func (b *Book) all() []*account {
+func (b *Tracker) all() []*account {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	all := make([]*account, 0, len(b.accounts))
@@ -73,7 +73,7 @@
 
 // Services returns a line for each service and for each instance behind which
 // a backlog grows, in order of names.
-func (b *Book) Services(now time.Time) []*wire.ServiceBacklog {
+func (b *Tracker) Services(now time.Time) []*wire.ServiceBacklog {
 	var lines []*wire.ServiceBacklog
 	for _, a := range b.all() {
 		lines = append(lines, a.lines(now)...)
@@ -82,7 +82,7 @@
 }
 
 // InFlight returns how many requests are at this host and the oldest's age.
-func (b *Book) InFlight(now time.Time) (int, time.Duration) {
+func (b *Tracker) InFlight(now time.Time) (int, time.Duration) {
 	total, oldest := 0, time.Duration(0)
 	for _, a := range b.all() {
 		n, age := a.present(now)
--- a/entry/backlog/detector.go
+++ b/entry/backlog/detector.go
@@ -20,12 +20,12 @@
 // Sample is what happened since the sample before.
 type Sample struct {
 	At          time.Time
-	Present     int // requests now
-	Floor       int // fewest requests since the sample before
+	Pending     int // requests now
+	MinPending  int // fewest requests since the sample before
 	Arrivals    int
 	Completions int
-	Oldest      time.Duration // age of the oldest request that waits
-	Typical     time.Duration // 99th percentile of the time to an answer, 0 if unknown
+	OldestAge   time.Duration // age of the oldest request that waits
+	ResponseP99 time.Duration // 99th percentile of the time to an answer, 0 if unknown
 }
 
 // Limits are what a detector holds samples against.
@@ -104,14 +104,14 @@
 		return d.growing, d.since
 	}
 	if cause != "" {
-		d.growing, d.since, d.peak = cause, since, s.Present
+		d.growing, d.since, d.peak = cause, since, s.Pending
 		d.calmFrom = time.Time{}
 	}
 	return d.growing, d.since
 }
 
-// Adopt takes over an alarm that this host raised before a restart.
-func (d *Detector) Adopt(cause Cause, since time.Time) { d.growing, d.since = cause, since }
+// Restore takes over an alarm that this host raised before a restart.
+func (d *Detector) Restore(cause Cause, since time.Time) { d.growing, d.since = cause, since }
 
 // judge closes the spans that have passed and runs the tests.
 func (d *Detector) judge(s Sample, limits Limits) (Cause, time.Time) {
@@ -131,10 +131,10 @@
 		return cause, since
 	}
 	if d.stalled(s, limits) {
-		return Stalled, s.At.Add(-s.Oldest)
+		return Stalled, s.At.Add(-s.OldestAge)
 	}
-	if limits.Count > 0 && s.Present >= limits.Count && s.Oldest >= limits.Age {
-		return Threshold, s.At.Add(-s.Oldest)
+	if limits.Count > 0 && s.Pending >= limits.Count && s.OldestAge >= limits.Age {
+		return Threshold, s.At.Add(-s.OldestAge)
 	}
 	return "", time.Time{}
 }
@@ -143,11 +143,11 @@
 // that a growing backlog does not soon look usual.
 func (d *Detector) learn(s Sample) {
 	if d.usual == 0 {
-		d.usual = s.Typical
+		d.usual = s.ResponseP99
 	}
 	if !d.last.IsZero() && d.growing == "" {
 		weight := min(1, float64(s.At.Sub(d.last))/float64(usualTime))
-		d.usual += time.Duration(weight * float64(s.Typical-d.usual))
+		d.usual += time.Duration(weight * float64(s.ResponseP99-d.usual))
 	}
 	d.last = s.At
 }
@@ -166,17 +166,17 @@
 // stalled reports whether requests wait and none has ended for far longer than
 // an answer usually takes.
 func (d *Detector) stalled(s Sample, limits Limits) bool {
-	if s.Completions > 0 || s.Present <= limits.Slots || d.ended.IsZero() {
+	if s.Completions > 0 || s.Pending <= limits.Slots || d.ended.IsZero() {
 		d.ended = s.At
 	}
 	limit := max(stalledAge, stalledFactor*d.usual)
-	return d.usual > 0 && s.At.Sub(d.ended) >= limit && s.Oldest >= limit
+	return d.usual > 0 && s.At.Sub(d.ended) >= limit && s.OldestAge >= limit
 }
 
 // clear ends an alarm once requests stayed few for a while.
 func (d *Detector) clear(s Sample, limits Limits, raised bool) {
-	d.peak = max(d.peak, s.Present)
-	calm := !raised && s.Present <= max(limits.Slots, d.peak/2) && (limits.Count == 0 || s.Present < limits.Count || s.Oldest < limits.Age)
+	d.peak = max(d.peak, s.Pending)
+	calm := !raised && s.Pending <= max(limits.Slots, d.peak/2) && (limits.Count == 0 || s.Pending < limits.Count || s.OldestAge < limits.Age)
 	if !calm {
 		d.calmFrom = time.Time{}
 		return
@@ -196,8 +196,8 @@
 		p.begin(s)
 		return false
 	}
-	p.floor = min(p.floor, s.Floor)
-	p.age = min(p.age, s.Oldest)
+	p.floor = min(p.floor, s.MinPending)
+	p.age = min(p.age, s.OldestAge)
 	p.flow += s.Arrivals + s.Completions
 	if s.At.Sub(p.from) < length {
 		return false
@@ -208,7 +208,7 @@
 }
 
 func (p *span) begin(s Sample) {
-	p.from, p.present, p.floor, p.age, p.flow = s.At, s.Present, s.Present, s.Oldest, 0
+	p.from, p.present, p.floor, p.age, p.flow = s.At, s.Pending, s.Pending, s.OldestAge, 0
 }
 
 func (p *span) close(s Sample) {
@@ -219,7 +219,7 @@
 	copy(p.history[:], p.history[1:])
 	p.history[spansCompared-1] = one
 	p.closed++
-	change := float64(s.Present - p.present)
+	change := float64(s.Pending - p.present)
 	weight := max(varianceWeight, 1/float64(p.closed))
 	p.variance += weight * (change*change - p.variance)
 }
--- a/entry/backlog/ledger.go
+++ b/entry/backlog/ledger.go
@@ -62,7 +62,7 @@
 // sample returns the flow since the last sample.
 func (l *ledger) sample(now time.Time) Sample {
 	s := Sample{
-		At: now, Present: l.present, Floor: l.floor,
+		At: now, Pending: l.present, MinPending: l.floor,
 		Arrivals: int(l.arrivals - l.sampled.arrivals), Completions: int(l.completions - l.sampled.completions),
 	}
 	failed := int(l.failures - l.sampled.failures)
--- a/entry/backlog/stay.go
+++ b/entry/backlog/stay.go
@@ -6,20 +6,20 @@
 	"github.com/snipebeam/snipebeam/world/instance"
 )
 
-// Stay is one request from its arrival to its end. It stands in exactly one
+// Request is one request from its arrival to its end. It stands in exactly one
 // list of its account at a time.
-type Stay struct {
+type Request struct {
 	account   *account
 	arrivedAt time.Time
 	answered  time.Duration // time to the first byte of the answer, 0 before it
 	target    *instanceAccount
 	list      *stayList
-	next      *Stay
-	previous  *Stay
+	next      *Request
+	previous  *Request
 }
 
-// Start records that the request went to an instance.
-func (s *Stay) Start(id instance.ID, _ time.Time) {
+// Dispatched records that the request went to an instance.
+func (s *Request) Dispatched(id instance.ID, _ time.Time) {
 	s.account.mu.Lock()
 	defer s.account.mu.Unlock()
 	if s.list == nil {
@@ -32,7 +32,7 @@
 }
 
 // Sent records that the whole request is written and an answer is awaited.
-func (s *Stay) Sent(_ time.Time) {
+func (s *Request) Sent(_ time.Time) {
 	s.account.mu.Lock()
 	defer s.account.mu.Unlock()
 	if s.list == nil || s.target == nil || s.answered > 0 {
@@ -41,8 +41,8 @@
 	s.moveTo(&s.target.awaiting)
 }
 
-// Answering records that the answer has begun.
-func (s *Stay) Answering(now time.Time) {
+// ResponseStarted records that the answer has begun.
+func (s *Request) ResponseStarted(now time.Time) {
 	s.account.mu.Lock()
 	defer s.account.mu.Unlock()
 	if s.list == nil {
@@ -53,7 +53,7 @@
 }
 
 // Requeue records that the request waits for another instance.
-func (s *Stay) Requeue(_ time.Time) {
+func (s *Request) Requeue(_ time.Time) {
 	s.account.mu.Lock()
 	defer s.account.mu.Unlock()
 	if s.list == nil {
@@ -63,9 +63,9 @@
 	s.moveTo(&s.account.queued)
 }
 
-// Carried counts bytes of the body of a request, or of its answer, that has large
+// AddBodyBytes counts bytes of the body of a request, or of its answer, that has large
 // bodies or not.
-func (s *Stay) Carried(n int, bulk bool) {
+func (s *Request) AddBodyBytes(n int, bulk bool) {
 	s.account.mu.Lock()
 	defer s.account.mu.Unlock()
 	if bulk {
@@ -76,7 +76,7 @@
 }
 
 // End records the request's end. Later calls do nothing.
-func (s *Stay) End(failed bool, now time.Time) {
+func (s *Request) End(failed bool, now time.Time) {
 	s.account.mu.Lock()
 	defer s.account.mu.Unlock()
 	if s.list == nil {
@@ -91,7 +91,7 @@
 	s.account.latency.record(s.answered)
 }
 
-func (s *Stay) leaveInstance() {
+func (s *Request) leaveInstance() {
 	if s.target == nil {
 		return
 	}
@@ -99,7 +99,7 @@
 	s.target = nil
 }
 
-func (s *Stay) moveTo(list *stayList) {
+func (s *Request) moveTo(list *stayList) {
 	if s.list != nil {
 		s.list.remove(s)
 	}
@@ -108,12 +108,12 @@
 
 // stayList keeps stays in order of arrival at the list.
 type stayList struct {
-	first *Stay
-	last  *Stay
+	first *Request
+	last  *Request
 	n     int
 }
 
-func (l *stayList) add(s *Stay) {
+func (l *stayList) add(s *Request) {
 	s.list, s.previous, s.next = l, l.last, nil
 	if l.last == nil {
 		l.first = s
@@ -124,7 +124,7 @@
 	l.n++
 }
 
-func (l *stayList) remove(s *Stay) {
+func (l *stayList) remove(s *Request) {
 	if s.previous == nil {
 		l.first = s.next
 	} else {
--- a/entry/backlog/watch.go
+++ b/entry/backlog/watch.go
@@ -17,28 +17,28 @@
 	Reason string
 }
 
-// Terms tell what a service's backlog is held against and who owns it.
-type Terms struct {
+// AlarmConfig tell what a service's backlog is held against and who owns it.
+type AlarmConfig struct {
 	Owner  string
 	Reason string
 	Limits Limits // Slots of the whole service
 	Slots  func(id instance.ID) int
 }
 
-// Watch samples a book and raises alarms.
-type Watch struct {
-	book   *Book
-	terms  func(service string) Terms
+// Monitor samples a book and raises alarms.
+type Monitor struct {
+	book   *Tracker
+	terms  func(service string) AlarmConfig
 	logger hclog.Logger
 }
 
-// NewWatch returns a watch; terms are asked for at each sample.
-func NewWatch(book *Book, terms func(service string) Terms, logger hclog.Logger) *Watch {
-	return &Watch{book: book, terms: terms, logger: logger.Named("backlog")}
+// NewMonitor returns a watch; terms are asked for at each sample.
+func NewMonitor(book *Tracker, terms func(service string) AlarmConfig, logger hclog.Logger) *Monitor {
+	return &Monitor{book: book, terms: terms, logger: logger.Named("backlog")}
 }
 
 // Run samples until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Monitor) Run(ctx context.Context) {
 	ticker := time.NewTicker(SampleInterval)
 	defer ticker.Stop()
 	for {
@@ -52,24 +52,24 @@
 }
 
 // Sample takes one sample of every account.
-func (w *Watch) Sample(now time.Time) {
+func (w *Monitor) Sample(now time.Time) {
 	for _, a := range w.book.all() {
 		w.sample(a, w.terms(a.service), now)
 	}
 }
 
-func (w *Watch) sample(a *account, terms Terms, now time.Time) {
+func (w *Monitor) sample(a *account, terms AlarmConfig, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.latency.refresh(now)
 	s := a.whole.sample(now)
-	s.Oldest, s.Typical = a.awaitingAge(now), a.latency.p99
+	s.OldestAge, s.ResponseP99 = a.awaitingAge(now), a.latency.p99
 	a.discount(&s)
 	w.settle(&a.whole, a.service, "", terms, s, terms.Limits)
 	for id, i := range a.instances {
 		one := i.ledger.sample(now)
-		one.Oldest, one.Typical = i.awaiting.age(now), a.latency.p99
-		one.Present, one.Floor = min(one.Present, i.awaiting.n), min(one.Floor, i.awaiting.n)
+		one.OldestAge, one.ResponseP99 = i.awaiting.age(now), a.latency.p99
+		one.Pending, one.MinPending = min(one.Pending, i.awaiting.n), min(one.MinPending, i.awaiting.n)
 		w.settle(&i.ledger, a.service, id, terms, one, Limits{Slots: terms.Slots(id)})
 		a.forget(id, i, now)
 	}
@@ -77,8 +77,8 @@
 
 // discount leaves out requests whose body is on its way.
 func (a *account) discount(s *Sample) {
-	s.Present = max(s.Present-a.moving.n, 0)
-	s.Floor = min(s.Floor, s.Present)
+	s.Pending = max(s.Pending-a.moving.n, 0)
+	s.MinPending = min(s.MinPending, s.Pending)
 }
 
 // forgetAfter is how long an instance without requests is remembered.
@@ -98,7 +98,7 @@
 }
 
 // settle runs the detector and tells when an alarm begins or ends.
-func (w *Watch) settle(l *ledger, service string, id instance.ID, terms Terms, s Sample, limits Limits) {
+func (w *Monitor) settle(l *ledger, service string, id instance.ID, terms AlarmConfig, s Sample, limits Limits) {
 	cause, since := l.detector.Observe(s, limits)
 	switch {
 	case cause != "" && l.alarm == nil:
@@ -110,16 +110,16 @@
 	}
 }
 
-func (w *Watch) fields(l *ledger, service string, id instance.ID, s Sample) []any {
+func (w *Monitor) fields(l *ledger, service string, id instance.ID, s Sample) []any {
 	return []any{
 		"service", service, "instance", string(id), "owner", l.alarm.Owner, "why", l.alarm.Reason,
-		"cause", string(l.alarm.Cause), "since", l.alarm.Since, "present", s.Present, "oldestMs", s.Oldest.Milliseconds(),
+		"cause", string(l.alarm.Cause), "since", l.alarm.Since, "present", s.Pending, "oldestMs", s.OldestAge.Milliseconds(),
 		"arrivalsPerS", l.rates.arrivals, "completionsPerS", l.rates.completions,
 	}
 }
 
-// Adopt takes over the alarms of this host's last report before a restart.
-func (b *Book) Adopt(lines []*wire.ServiceBacklog) {
+// RestoreAlarms takes over the alarms of this host's last report before a restart.
+func (b *Tracker) RestoreAlarms(lines []*wire.ServiceBacklog) {
 	for _, line := range lines {
 		if line.GetGrowing() {
 			b.account(line.GetService()).adopt(line)
@@ -135,6 +135,6 @@
 		l = &a.instance(instance.ID(id)).ledger
 	}
 	since := time.Unix(0, line.GetSince())
-	l.detector.Adopt(Cause(line.GetCause()), since)
+	l.detector.Restore(Cause(line.GetCause()), since)
 	l.alarm = &Alarm{Cause: Cause(line.GetCause()), Since: since, Owner: line.GetOwner(), Reason: line.GetReason()}
 }
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -130,7 +130,7 @@
 	c        *call
 	ticket   *route.Ticket
 	target   *instance.Instance
-	flight   *poison.Flight
+	flight   *poison.Attempt
 	report   route.Report
 	recorder *recorder
 	ctx      context.Context // of the exchange, nil for that of the call
@@ -140,7 +140,7 @@
 }
 
 func (d *dispatch) finish() {
-	d.flight.Leave()
+	d.flight.End()
 	d.ticket.Finish(d.report)
 }
 
@@ -153,8 +153,8 @@
 // begin records the start of the attempt.
 func (d *dispatch) begin() {
 	c := d.c
-	d.flight = d.h.cfg.Suspects.Enter(c.ctx, c.fingerprint, string(d.target.ID()))
-	c.tracker.Start(d.target.ID(), time.Now())
+	d.flight = d.h.cfg.Suspects.Begin(c.ctx, c.fingerprint, string(d.target.ID()))
+	c.tracker.Dispatched(d.target.ID(), time.Now())
 	if c.body.complete {
 		c.tracker.Sent(time.Now())
 	}
@@ -264,7 +264,7 @@
 		d.report.Failed = true
 		d.report.ConnectionLost = !pool.Reachable(ctx, address)
 		if d.report.ConnectionLost {
-			d.flight.Lost(ctx)
+			d.flight.InstanceLost(ctx)
 		}
 	case upstream.Malformed:
 		d.report.Failed = true
--- a/entry/caller/body.go
+++ b/entry/caller/body.go
@@ -125,7 +125,7 @@
 	tooLarge := b.bytesRead > b.maxBytes
 	b.mu.Unlock()
 	if b.call.tracker != nil {
-		b.call.tracker.Carried(n, b.call.rule.Contract().Bulk())
+		b.call.tracker.AddBodyBytes(n, b.call.rule.Contract().Bulk())
 	}
 	if tooLarge {
 		return 0, errBodyTooLarge
--- a/entry/caller/call.go
+++ b/entry/caller/call.go
@@ -32,7 +32,7 @@
 	caller          string
 	version         uint64
 	rule            *rule.Rule
-	tracker         *backlog.Stay // tracks the request in the backlog
+	tracker         *backlog.Request // tracks the request in the backlog
 	w               http.ResponseWriter
 	controller      *http.ResponseController
 	r               *http.Request
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -58,9 +58,9 @@
 	Pool      *upstream.Pool
 	Claims    control.Claimer
 	Settler   *control.Settler
-	Suspects  *poison.Book
+	Suspects  *poison.Tracker
 	Budget    RetryBudget // nil: no limit
-	Backlog   *backlog.Book
+	Backlog   *backlog.Tracker
 	Decisions *decision.Log
 	Stopping  *atomic.Bool
 	Logger    hclog.Logger
@@ -104,7 +104,7 @@
 		cfg.Logger = hclog.NewNullLogger()
 	}
 	if cfg.Suspects == nil {
-		cfg.Suspects = poison.NewBook()
+		cfg.Suspects = poison.NewTracker()
 	}
 	if cfg.Settler == nil {
 		cfg.Settler = control.NewSettler(cfg.Claims)
@@ -124,7 +124,7 @@
 		return
 	}
 	defer h.inFlight.release(c.caller)
-	c.tracker = h.cfg.Backlog.Arrive(c.service, time.Now())
+	c.tracker = h.cfg.Backlog.Track(c.service, time.Now())
 	failed := true
 	defer func() { c.tracker.End(failed, time.Now()) }()
 	problem := h.run(c)
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -48,10 +48,10 @@
 // entryHost is one handler with its dependencies.
 type entryHost struct {
 	handler  *caller.Handler
-	backlog  *backlog.Book
+	backlog  *backlog.Tracker
 	pool     *upstream.Pool
 	settler  *control.Settler
-	suspects *poison.Book
+	suspects *poison.Tracker
 	stopping atomic.Bool
 }
 
@@ -63,7 +63,7 @@
 	_, err := table.Advance(&wire.Version{Number: 1}, ruleText)
 	must.NoError(t, err)
 	table.Confirm(1, time.Now())
-	e := &entryHost{backlog: backlog.NewBook(), pool: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewBook()}
+	e := &entryHost{backlog: backlog.NewTracker(), pool: upstream.NewPool(), settler: control.NewSettler(claims), suspects: poison.NewTracker()}
 	cfg := caller.Config{
 		Host: "entry-1", Table: table, Router: route.NewRouter(views, route.NewLeastLoaded(), route.WithTerms(termsOf(table))), Pool: e.pool, Claims: claims,
 		Settler: e.settler, Suspects: e.suspects, Backlog: e.backlog, Decisions: decision.NewLog(hclog.NewNullLogger()), Stopping: &e.stopping,
--- a/entry/caller/once.go
+++ b/entry/caller/once.go
@@ -165,5 +165,5 @@
 	if !c.body.complete {
 		parts = append(parts, c.caller)
 	}
-	return poison.Of(c.body.length, c.body.prefix, parts...)
+	return poison.NewFingerprint(c.body.length, c.body.prefix, parts...)
 }
--- a/entry/caller/response.go
+++ b/entry/caller/response.go
@@ -40,7 +40,7 @@
 // the response stands for: a refusal, or an outcome of the layer below.
 func (d *dispatch) handleResponse(exchange *upstream.Exchange) result {
 	response, id := exchange.Response(), d.target.ID()
-	d.c.tracker.Answering(time.Now())
+	d.c.tracker.ResponseStarted(time.Now())
 	d.c.ctx.disarm()
 	d.report.Failed = response.StatusCode >= http.StatusInternalServerError
 	if report, ok := d.c.dialect.Load(response.Header); ok {
@@ -119,7 +119,7 @@
 		n, err := body.Read(buffer[:])
 		if n > 0 {
 			rec.recordBody(buffer[:n])
-			c.tracker.Carried(n, c.rule.Contract().Bulk())
+			c.tracker.AddBodyBytes(n, c.rule.Contract().Bulk())
 			c.writeChunk(buffer[:n], err == nil)
 		}
 		if errors.Is(err, io.EOF) {
--- a/entry/host/backlog.go
+++ b/entry/host/backlog.go
@@ -12,9 +12,9 @@
 )
 
 // runBacklog watches the backlog of every service of this host.
-func runBacklog(lc fx.Lifecycle, book *backlog.Book, table *rules.Table, views *route.Views, logger hclog.Logger) {
+func runBacklog(lc fx.Lifecycle, book *backlog.Tracker, table *rules.Table, views *route.Views, logger hclog.Logger) {
 	ctx, cancel := context.WithCancel(context.Background())
-	watch := backlog.NewWatch(book, func(service string) backlog.Terms {
+	watch := backlog.NewMonitor(book, func(service string) backlog.AlarmConfig {
 		return backlogTerms(service, table.Current(), views.Load(service))
 	}, logger)
 	lc.Append(fx.Hook{
@@ -30,9 +30,9 @@
 }
 
 // backlogTerms tells whose a service's backlog is and what it is held against.
-func backlogTerms(service string, inForce *rules.InForce, view *route.View) backlog.Terms {
+func backlogTerms(service string, inForce *rules.InForce, view *route.View) backlog.AlarmConfig {
 	terms := inForce.Set().Terms(service)
-	found := backlog.Terms{
+	found := backlog.AlarmConfig{
 		Owner:  terms.Owner(),
 		Limits: backlog.Limits{Count: terms.BacklogCount(), Age: terms.BacklogAge()},
 		Slots:  func(instance.ID) int { return instance.DefaultSlots },
--- a/entry/host/callers.go
+++ b/entry/host/callers.go
@@ -27,8 +27,8 @@
 
 func newSettler(client *control.Client) *control.Settler { return control.NewSettler(client) }
 
-func newSuspects(cfg *settings.Settings) *poison.Book {
-	return poison.NewBook(poison.WithLosses(cfg.Poison.Losses), poison.WithRefusal(seconds(cfg.Poison.RefusalSeconds)))
+func newSuspects(cfg *settings.Settings) *poison.Tracker {
+	return poison.NewTracker(poison.WithLossLimit(cfg.Poison.Losses), poison.WithRefusalPeriod(seconds(cfg.Poison.RefusalSeconds)))
 }
 
 // callerParts are what the handler of callers is composed from.
@@ -43,8 +43,8 @@
 	Links     *upstream.Pool
 	Claims    *control.Client
 	Settler   *control.Settler
-	Suspects  *poison.Book
-	Book      *backlog.Book
+	Suspects  *poison.Tracker
+	Book      *backlog.Tracker
 	Decisions *decision.Log
 	Watch     *control.Watch
 	Options   options
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -54,7 +54,7 @@
 			newPolicy,
 			func() *route.Views { return &route.Views{} },
 			registry.New, registry.NewMembership,
-			rules.NewTable, placement.NewRates, backlog.NewBook, decision.NewLog,
+			rules.NewTable, placement.NewRates, backlog.NewTracker, decision.NewLog,
 			newControlHosts, newPool, newSettler, newSuspects,
 			newClient, newState, newWatch, newNode, newScout, newRouter, newDoors, newExporter,
 		),
@@ -69,14 +69,14 @@
 type State struct {
 	cfg      *settings.Settings
 	table    *rules.Table
-	book     *backlog.Book
-	suspects *poison.Book
+	book     *backlog.Tracker
+	suspects *poison.Tracker
 	draining atomic.Bool
 	left     atomic.Bool // stopped as planned
 	bound    atomic.Bool // listeners are open
 }
 
-func newState(cfg *settings.Settings, table *rules.Table, book *backlog.Book, suspects *poison.Book) *State {
+func newState(cfg *settings.Settings, table *rules.Table, book *backlog.Tracker, suspects *poison.Tracker) *State {
 	return &State{cfg: cfg, table: table, book: book, suspects: suspects}
 }
 
@@ -194,7 +194,7 @@
 	})
 }
 
-func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Book, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *doors) {
+func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *doors) {
 	service := operator.New(operator.Parts{
 		Host: cfg.Host.Name, Table: table, Views: views, Book: book, Decisions: decisions,
 		Report: state.Report, Drain: state.draining.Store, Logger: logger,
--- a/entry/host/membership.go
+++ b/entry/host/membership.go
@@ -17,7 +17,7 @@
 	"go.uber.org/fx"
 )
 
-func newNode(cfg *settings.Settings, ring *key.Ring, client *http.Client, reg *registry.Registry, state *State, suspects *poison.Book, logger hclog.Logger) (*peer.Node, error) {
+func newNode(cfg *settings.Settings, ring *key.Ring, client *http.Client, reg *registry.Registry, state *State, suspects *poison.Tracker, logger hclog.Logger) (*peer.Node, error) {
 	node, err := peer.New(peer.Config{
 		Self: &wire.GossipHost{
 			Name: cfg.Host.Name, Zone: cfg.Host.Zone, State: state.Name(), CallersAddress: cfg.Listen.Callers,
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	suspects.ShareWith(node.ShareSuspects)
+	suspects.SetBroadcast(node.ShareSuspects)
 	return node, nil
 }
 
@@ -56,11 +56,11 @@
 	})
 }
 
-func newWatch(cfg *settings.Settings, rates *placement.Rates, ring *key.Ring, table *rules.Table, state *State, node *peer.Node, members *registry.Membership, suspects *poison.Book, current *controlHosts, logger hclog.Logger) *control.Watch {
+func newWatch(cfg *settings.Settings, rates *placement.Rates, ring *key.Ring, table *rules.Table, state *State, node *peer.Node, members *registry.Membership, suspects *poison.Tracker, current *controlHosts, logger hclog.Logger) *control.Watch {
 	client := ring.Client(&http.Client{Transport: control.NewTransport()})
 	opts := []control.WatchOption{
 		control.WithRates(rates.Store),
-		control.WithAdopt(func(previous *wire.HostReport) { state.book.Adopt(previous.GetBacklog()) }),
+		control.WithAdopt(func(previous *wire.HostReport) { state.book.RestoreAlarms(previous.GetBacklog()) }),
 	}
 	join := node.Join
 	if cfg.Peers.Membership == settings.MembershipControl {
@@ -69,7 +69,7 @@
 	}
 	watch := control.NewWatch(current.Addresses, client, table, state.Report, join, logger, opts...)
 	if cfg.Peers.Membership == settings.MembershipControl {
-		suspects.ShareWith(func(ctx context.Context, _ []*wire.Suspect) { watch.Report(ctx) })
+		suspects.SetBroadcast(func(ctx context.Context, _ []*wire.Suspect) { watch.Report(ctx) })
 	}
 	return watch
 }
--- a/entry/host/metrics.go
+++ b/entry/host/metrics.go
@@ -8,6 +8,6 @@
 	"github.com/snipebeam/snipebeam/entry/rules"
 )
 
-func newExporter(state *State, table *rules.Table, views *route.Views, book *backlog.Book, decisions *decision.Log) *prometheus.Exporter {
+func newExporter(state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log) *prometheus.Exporter {
 	return prometheus.New(prometheus.Parts{Table: table, Views: views, Book: book, Decisions: decisions, State: state.Name})
 }
--- a/entry/host/stop_test.go
+++ b/entry/host/stop_test.go
@@ -16,8 +16,8 @@
 )
 
 func drained(ctx context.Context, t *testing.T, longest time.Duration) time.Duration {
-	state := newState(settings.Default(), rules.NewTable(), backlog.NewBook(), poison.NewBook())
-	stay := state.book.Arrive("aftercare", time.Now())
+	state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
+	stay := state.book.Track("aftercare", time.Now())
 	time.AfterFunc(longest, func() { stay.End(false, time.Now()) })
 	started := time.Now()
 	drain(ctx, state, control.NewSettler(nil), stopDoors{
@@ -55,8 +55,8 @@
 
 func TestNoConnectionIsTakenWhileADrainWaitsForWhatIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		state := newState(settings.Default(), rules.NewTable(), backlog.NewBook(), poison.NewBook())
-		stay := state.book.Arrive("aftercare", time.Now())
+		state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
+		stay := state.book.Track("aftercare", time.Now())
 		time.AfterFunc(time.Minute, func() { stay.End(false, time.Now()) })
 		started, refused := time.Now(), make(chan time.Duration, 1)
 		drain(t.Context(), state, control.NewSettler(nil), stopDoors{
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -26,7 +26,7 @@
 	Host      string
 	Table     *rules.Table
 	Views     *route.Views
-	Book      *backlog.Book
+	Book      *backlog.Tracker
 	Decisions *decision.Log
 	Report    func() *wire.HostReport
 	Drain     func(drain bool)
--- a/entry/peer/node.go
+++ b/entry/peer/node.go
@@ -35,8 +35,8 @@
 	Registry       *registry.Registry
 	State          func() string // what this host says of its own state
 	Ring           *key.Ring
-	Suspects       *poison.Book // nil: none are kept
-	Client         *http.Client // for the other hosts' Twirp services
+	Suspects       *poison.Tracker // nil: none are kept
+	Client         *http.Client    // for the other hosts' Twirp services
 	BytesPerSecond int
 	Logger         hclog.Logger
 }
--- a/entry/peer/suspects.go
+++ b/entry/peer/suspects.go
@@ -38,4 +38,4 @@
 	group.Wait()
 }
 
-var _ poison.Share = (*Node)(nil).ShareSuspects
+var _ poison.Broadcast = (*Node)(nil).ShareSuspects
--- a/entry/poison/book.go
+++ b/entry/poison/book.go
@@ -32,13 +32,13 @@
 
 // Defaults of a book.
 const (
-	DefaultLosses  = 2 // instances lost with a request before it is refused
-	DefaultRefusal = 10 * time.Minute
-	DefaultMemory  = 10 * time.Minute // that a suspect is remembered
-	rackLosses     = 3                // instances lost within rackWindow count for nobody
-	rackWindow     = time.Second
-	trialWait      = 2 * time.Second
-	maxSuspects    = 10_000
+	DefaultLossLimit     = 2 // instances lost with a request before it is refused
+	DefaultRefusalPeriod = 10 * time.Minute
+	DefaultSuspectTTL    = 10 * time.Minute // that a suspect is remembered
+	rackLosses           = 3                // instances lost within rackWindow count for nobody
+	rackWindow           = time.Second
+	trialWait            = 2 * time.Second
+	maxSuspects          = 10_000
 )
 
 var (
@@ -49,8 +49,8 @@
 // Fingerprint tells requests apart that may cost instances.
 type Fingerprint uint64
 
-// Of returns the fingerprint of a body and of what else tells a request apart.
-func Of(length int64, body []byte, parts ...string) Fingerprint {
+// NewFingerprint returns the fingerprint of a body and of what else tells a request apart.
+func NewFingerprint(length int64, body []byte, parts ...string) Fingerprint {
 	digest := xxhash.New()
 	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, uint64(length)))
 	for _, part := range parts {
@@ -61,18 +61,18 @@
 	return Fingerprint(digest.Sum64())
 }
 
-// Share sends suspects to the other entry hosts and waits, within the context.
-type Share func(ctx context.Context, suspects []*wire.Suspect)
+// Broadcast sends suspects to the other entry hosts and waits, within the context.
+type Broadcast func(ctx context.Context, suspects []*wire.Suspect)
 
-// Book holds the flights and the suspects of one entry host.
-type Book struct {
+// Tracker holds the flights and the suspects of one entry host.
+type Tracker struct {
 	losses  int
 	refusal time.Duration
-	share   Share
+	share   Broadcast
 	trial   chan struct{} // held by the one suspect that runs
 
 	mu       sync.Mutex
-	flights  map[string]map[*Flight]struct{} // by instance
+	flights  map[string]map[*Attempt]struct{} // by instance
 	suspects map[Fingerprint]*suspect
 	lost     []loss // within the last rackWindow
 	any      atomic.Bool
@@ -91,23 +91,23 @@
 }
 
 // Option changes one property of a book.
-type Option func(*Book)
+type Option func(*Tracker)
 
-// WithLosses sets how many instances may be lost with a request.
-func WithLosses(n int) Option { return func(b *Book) { b.losses = n } }
+// WithLossLimit sets how many instances may be lost with a request.
+func WithLossLimit(n int) Option { return func(b *Tracker) { b.losses = n } }
 
-// WithRefusal sets how long a request is refused.
-func WithRefusal(d time.Duration) Option { return func(b *Book) { b.refusal = d } }
+// WithRefusalPeriod sets how long a request is refused.
+func WithRefusalPeriod(d time.Duration) Option { return func(b *Tracker) { b.refusal = d } }
 
-// WithShare sets how the other entry hosts learn of suspects.
-func WithShare(share Share) Option { return func(b *Book) { b.share = share } }
+// WithBroadcast sets how the other entry hosts learn of suspects.
+func WithBroadcast(share Broadcast) Option { return func(b *Tracker) { b.share = share } }
 
-// NewBook returns an empty book.
-func NewBook(opts ...Option) *Book {
-	b := &Book{
-		losses: DefaultLosses, refusal: DefaultRefusal, trial: make(chan struct{}, 1),
+// NewTracker returns an empty book.
+func NewTracker(opts ...Option) *Tracker {
+	b := &Tracker{
+		losses: DefaultLossLimit, refusal: DefaultRefusalPeriod, trial: make(chan struct{}, 1),
 		share:   func(context.Context, []*wire.Suspect) {},
-		flights: map[string]map[*Flight]struct{}{}, suspects: map[Fingerprint]*suspect{},
+		flights: map[string]map[*Attempt]struct{}{}, suspects: map[Fingerprint]*suspect{},
 	}
 	for _, opt := range opts {
 		opt(b)
@@ -115,12 +115,12 @@
 	return b
 }
 
-// ShareWith sets how the other entry hosts learn of suspects; it is called
+// SetBroadcast sets how the other entry hosts learn of suspects; it is called
 // before the first request.
-func (b *Book) ShareWith(share Share) { b.share = share }
+func (b *Tracker) SetBroadcast(share Broadcast) { b.share = share }
 
 // Refused reports whether a request is refused, and until when.
-func (b *Book) Refused(fp Fingerprint, now time.Time) (time.Time, bool) {
+func (b *Tracker) Refused(fp Fingerprint, now time.Time) (time.Time, bool) {
 	if !b.any.Load() {
 		return time.Time{}, false
 	}
@@ -135,7 +135,7 @@
 }
 
 // Suspects returns the suspects as other hosts are told of them.
-func (b *Book) Suspects() []*wire.Suspect {
+func (b *Tracker) Suspects() []*wire.Suspect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := make([]*wire.Suspect, 0, len(b.suspects))
@@ -154,7 +154,7 @@
 }
 
 // Merge takes suspects that another entry host noted.
-func (b *Book) Merge(messages []*wire.Suspect, now time.Time) {
+func (b *Tracker) Merge(messages []*wire.Suspect, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range messages {
@@ -170,7 +170,7 @@
 }
 
 // refuse takes over a refusal, which no host may make longer than its own.
-func (b *Book) refuse(fp Fingerprint, until, now time.Time) {
+func (b *Tracker) refuse(fp Fingerprint, until, now time.Time) {
 	s := b.suspects[fp]
 	if s == nil {
 		return
@@ -189,7 +189,7 @@
 }
 
 // note records that an instance was lost with a request in flight.
-func (b *Book) note(fp Fingerprint, instance string, now time.Time) {
+func (b *Tracker) note(fp Fingerprint, instance string, now time.Time) {
 	b.forget(now)
 	s := b.suspects[fp]
 	if s == nil {
@@ -211,14 +211,14 @@
 
 // noteLoss remembers the loss of an instance for as long as it may turn out to
 // be one of many.
-func (b *Book) noteLoss(instance string, now time.Time) {
+func (b *Tracker) noteLoss(instance string, now time.Time) {
 	b.lost = slices.DeleteFunc(b.lost, func(l loss) bool { return now.Sub(l.at) > rackWindow || l.instance == instance })
 	b.lost = append(b.lost, loss{instance: instance, at: now})
 }
 
 // pardon takes back what losses of many instances at once seemed to prove. A
 // fingerprint that was lost with several of them stays a suspect with one.
-func (b *Book) pardon(now time.Time) {
+func (b *Tracker) pardon(now time.Time) {
 	if len(b.lost) < rackLosses {
 		return
 	}
@@ -238,9 +238,9 @@
 }
 
 // forget drops suspects that were not noted again for long.
-func (b *Book) forget(now time.Time) {
+func (b *Tracker) forget(now time.Time) {
 	for fp, s := range b.suspects {
-		if now.Sub(s.notedAt) > DefaultMemory && !now.Before(s.refusedUntil) {
+		if now.Sub(s.notedAt) > DefaultSuspectTTL && !now.Before(s.refusedUntil) {
 			delete(b.suspects, fp)
 		}
 	}
--- a/entry/poison/book_test.go
+++ b/entry/poison/book_test.go
@@ -12,28 +12,28 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-func lose(book *poison.Book, fp poison.Fingerprint, instance string, others ...poison.Fingerprint) {
-	var flights []*poison.Flight
+func lose(book *poison.Tracker, fp poison.Fingerprint, instance string, others ...poison.Fingerprint) {
+	var flights []*poison.Attempt
 	for _, other := range others {
-		flights = append(flights, book.Enter(context.Background(), other, instance))
+		flights = append(flights, book.Begin(context.Background(), other, instance))
 	}
-	flight := book.Enter(context.Background(), fp, instance)
-	flight.Lost(context.Background())
-	flight.Leave()
+	flight := book.Begin(context.Background(), fp, instance)
+	flight.InstanceLost(context.Background())
+	flight.End()
 	for _, one := range flights {
-		one.Lost(context.Background())
-		one.Leave()
+		one.InstanceLost(context.Background())
+		one.End()
 	}
 }
 
-func refused(book *poison.Book, fp poison.Fingerprint) bool {
+func refused(book *poison.Tracker, fp poison.Fingerprint) bool {
 	_, yes := book.Refused(fp, time.Now())
 	return yes
 }
 
 func TestSecondLossRefusesForASetTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := poison.NewBook(poison.WithRefusal(time.Minute))
+		book := poison.NewTracker(poison.WithRefusalPeriod(time.Minute))
 		lose(book, 1, "a")
 		must.False(t, refused(book, 1))
 		lose(book, 1, "a") // the same instance, noticed by another request
@@ -48,11 +48,11 @@
 
 func TestInnocentCompanionIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := poison.NewBook()
+		book := poison.NewTracker()
 		lose(book, 1, "a", 2)
-		ran := book.Enter(t.Context(), 2, "b")
+		ran := book.Begin(t.Context(), 2, "b")
 		ran.Answered()
-		ran.Leave()
+		ran.End()
 		lose(book, 1, "b", 2)
 		must.True(t, refused(book, 1))
 		must.False(t, refused(book, 2))
@@ -61,19 +61,19 @@
 
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := poison.NewBook()
+		book := poison.NewTracker()
 		lose(book, 1, "a", 2)
-		first := book.Enter(t.Context(), 1, "b")
-		entered := make(chan *poison.Flight, 1)
-		go func() { entered <- book.Enter(context.Background(), 2, "b") }()
+		first := book.Begin(t.Context(), 1, "b")
+		entered := make(chan *poison.Attempt, 1)
+		go func() { entered <- book.Begin(context.Background(), 2, "b") }()
 		synctest.Wait()
 		must.Eq(t, 0, len(entered))
-		first.Lost(t.Context())
-		first.Leave()
+		first.InstanceLost(t.Context())
+		first.End()
 		synctest.Wait()
 		second := <-entered
 		second.Answered()
-		second.Leave()
+		second.End()
 		must.True(t, refused(book, 1))
 		must.False(t, refused(book, 2))
 	})
@@ -81,7 +81,7 @@
 
 func TestLostRackCondemnsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := poison.NewBook()
+		book := poison.NewTracker()
 		for n := range 6 {
 			lose(book, 7, fmt.Sprint("rack-", n), poison.Fingerprint(100+n))
 		}
@@ -94,9 +94,9 @@
 
 func TestOtherHostsKnowBeforeTheCallerIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hosts := make([]*poison.Book, 29)
+		hosts := make([]*poison.Tracker, 29)
 		for n := range hosts {
-			hosts[n] = poison.NewBook(poison.WithShare(func(_ context.Context, suspects []*wire.Suspect) {
+			hosts[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
 				for other := range hosts {
 					if other != n {
 						hosts[other].Merge(suspects, time.Now())
@@ -117,7 +117,7 @@
 
 func TestRefusalOfAnotherHostIsNoLongerThanOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := poison.NewBook(poison.WithRefusal(time.Minute))
+		book := poison.NewTracker(poison.WithRefusalPeriod(time.Minute))
 		book.Merge([]*wire.Suspect{{Fingerprint: 1, Instances: []string{"a", "b"}, RefusedUntil: time.Now().Add(24 * time.Hour).UnixNano()}}, time.Now())
 		until, yes := book.Refused(1, time.Now())
 		must.True(t, yes)
@@ -126,9 +126,9 @@
 }
 
 func TestFingerprintTellsBodiesAndPartsApart(t *testing.T) {
-	base := poison.Of(1, []byte("a"), "x", "y")
-	must.Eq(t, base, poison.Of(1, []byte("a"), "x", "y"))
-	for _, other := range []poison.Fingerprint{poison.Of(1, []byte("b"), "x", "y"), poison.Of(2, []byte("a"), "x", "y"), poison.Of(1, []byte("a"), "xy", "")} {
+	base := poison.NewFingerprint(1, []byte("a"), "x", "y")
+	must.Eq(t, base, poison.NewFingerprint(1, []byte("a"), "x", "y"))
+	for _, other := range []poison.Fingerprint{poison.NewFingerprint(1, []byte("b"), "x", "y"), poison.NewFingerprint(2, []byte("a"), "x", "y"), poison.NewFingerprint(1, []byte("a"), "xy", "")} {
 		must.NotEq(t, base, other)
 	}
 }
--- a/entry/poison/flight.go
+++ b/entry/poison/flight.go
@@ -7,39 +7,39 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Flight is one request while it is at an instance. It is used by one
+// Attempt is one request while it is at an instance. It is used by one
 // goroutine.
-type Flight struct {
-	book     *Book
+type Attempt struct {
+	book     *Tracker
 	fp       Fingerprint
 	instance string
 	trial    bool // holds the right to run as the only suspect
 	left     bool
 }
 
-// Enter records that a request goes to an instance. A suspect first waits, for
+// Begin records that a request goes to an instance. A suspect first waits, for
 // a bounded time, until no other suspect runs.
-func (b *Book) Enter(ctx context.Context, fp Fingerprint, instance string) *Flight {
-	f := &Flight{book: b, fp: fp, instance: instance}
+func (b *Tracker) Begin(ctx context.Context, fp Fingerprint, instance string) *Attempt {
+	f := &Attempt{book: b, fp: fp, instance: instance}
 	if b.any.Load() && b.suspected(fp) {
 		f.trial = b.waitForTrial(ctx)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.flights[instance] == nil {
-		b.flights[instance] = map[*Flight]struct{}{}
+		b.flights[instance] = map[*Attempt]struct{}{}
 	}
 	b.flights[instance][f] = struct{}{}
 	return f
 }
 
-func (b *Book) suspected(fp Fingerprint) bool {
+func (b *Tracker) suspected(fp Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.suspects[fp] != nil
 }
 
-func (b *Book) waitForTrial(ctx context.Context) bool {
+func (b *Tracker) waitForTrial(ctx context.Context) bool {
 	timer := time.NewTimer(trialWait)
 	defer timer.Stop()
 	select {
@@ -53,7 +53,7 @@
 }
 
 // Answered clears the request: an instance has run it and lived.
-func (f *Flight) Answered() {
+func (f *Attempt) Answered() {
 	b := f.book
 	if !b.any.Load() {
 		return
@@ -66,15 +66,15 @@
 	}
 }
 
-// Lost records that the instance was lost. Everything that was in flight
+// InstanceLost records that the instance was lost. Everything that was in flight
 // there becomes a suspect, and the other hosts know it when Lost returns or
 // the context ends, before the caller can send the request again.
-func (f *Flight) Lost(ctx context.Context) {
+func (f *Attempt) InstanceLost(ctx context.Context) {
 	lossesN.Inc()
 	f.book.share(ctx, f.book.lose(f.instance, time.Now()))
 }
 
-func (b *Book) lose(instance string, now time.Time) []*wire.Suspect {
+func (b *Tracker) lose(instance string, now time.Time) []*wire.Suspect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.noteLoss(instance, now)
@@ -95,8 +95,8 @@
 	return messages
 }
 
-// Leave ends the flight. Later calls do nothing.
-func (f *Flight) Leave() {
+// End ends the flight. Later calls do nothing.
+func (f *Attempt) End() {
 	if f == nil || f.left {
 		return
 	}
--- a/entry/prometheus/prometheus.go
+++ b/entry/prometheus/prometheus.go
@@ -25,7 +25,7 @@
 type Parts struct {
 	Table     *rules.Table
 	Views     *route.Views
-	Book      *backlog.Book
+	Book      *backlog.Tracker
 	Decisions *decision.Log
 	State     func() string // "starting", "ready" or "draining"
 }
--- a/entry/registry/membership.go
+++ b/entry/registry/membership.go
@@ -13,7 +13,7 @@
 // keep, in the order of their revisions.
 type Membership struct {
 	registry *Registry
-	suspects *poison.Book
+	suspects *poison.Tracker
 
 	mu    sync.Mutex
 	known uint64
@@ -29,7 +29,7 @@
 func (m *Membership) ActiveHosts() int { return max(int(m.active.Load()), 1) }
 
 // NewMembership returns a membership that knows no instance.
-func NewMembership(registry *Registry, suspects *poison.Book) *Membership {
+func NewMembership(registry *Registry, suspects *poison.Tracker) *Membership {
 	return &Membership{registry: registry, suspects: suspects}
 }
 
--- a/entry/registry/membership_test.go
+++ b/entry/registry/membership_test.go
@@ -12,7 +12,7 @@
 
 func TestMembershipTakesEachRecordOnceInOrder(t *testing.T) {
 	views := &route.Views{}
-	m := registry.NewMembership(registry.New(views), poison.NewBook())
+	m := registry.NewMembership(registry.New(views), poison.NewTracker())
 	record := func(id string, revision uint64, gone bool) *wire.Instance {
 		return &wire.Instance{Id: id, Service: "shop", Address: "10.0.0.1:80", Incarnation: 1, Revision: revision, Gone: gone}
 	}
