--- a/control/directory/demand.go
+++ b/control/directory/demand.go
@@ -9,11 +9,11 @@
 
 // Assumptions of services of which no rate is known.
 const (
-	// leastSlotRate is the requests a second of each slot of the instances: a
+	// minSlotRate is the requests a second of each slot of the instances: a
 	// share of what a slot carries of requests that take a quarter of a second.
-	leastSlotRate = 0.5
-	// unknownBytes is the size of a request's body: it may be an upload.
-	unknownBytes = 64 << 10
+	minSlotRate = 0.5
+	// defaultBodyBytes is the size of a request's body: it may be an upload.
+	defaultBodyBytes = 64 << 10
 )
 
 // demand is what the services ask of entry hosts, and what one host can take: as
@@ -31,8 +31,8 @@
 		all.rates[one.GetService()] = one
 	}
 	for _, one := range entries {
-		all.hostRate = weaker(all.hostRate, one.GetRateCapacity())
-		all.hostBytes = weaker(all.hostBytes, one.GetByteCapacity())
+		all.hostRate = minCapacity(all.hostRate, one.GetRateCapacity())
+		all.hostBytes = minCapacity(all.hostBytes, one.GetByteCapacity())
 	}
 	return all
 }
@@ -64,10 +64,10 @@
 	var sum load
 	for _, service := range services {
 		known := d.rates[service]
-		expected := max(known.GetArrivalsPerS(), leastSlotRate*float64(d.slots[service]))
+		expected := max(known.GetArrivalsPerS(), minSlotRate*float64(d.slots[service]))
 		sum.rate += expected
 		if known.GetArrivalsPerS() <= 0 {
-			sum.bulk += expected * unknownBytes
+			sum.bulk += expected * defaultBodyBytes
 			continue
 		}
 		scale := expected / known.GetArrivalsPerS()
@@ -77,9 +77,9 @@
 	return sum
 }
 
-// weaker returns the lower of two capacities, of which 0 stands for one that is
+// minCapacity returns the lower of two capacities, of which 0 stands for one that is
 // not known.
-func weaker(a, b float64) float64 {
+func minCapacity(a, b float64) float64 {
 	if a == 0 || b > 0 && b < a {
 		return b
 	}
@@ -91,14 +91,14 @@
 	revision := d.machine.InstancesRevision()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if revision == d.slotsAt && d.slotsOf != nil {
-		return d.slotsOf
+	if revision == d.slotsRevision && d.slotsByService != nil {
+		return d.slotsByService
 	}
 	all, _ := d.machine.Instances(0)
 	slots := map[string]int{}
 	for _, m := range all {
 		slots[m.GetService()] += int(m.GetSlots())
 	}
-	d.slotsAt, d.slotsOf = revision, slots
+	d.slotsRevision, d.slotsByService = revision, slots
 	return slots
 }
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -33,15 +33,15 @@
 	machine  *state.Machine
 	fleet    *fleet.Fleet
 	hostRate float64
-	least    int
+	minHosts    int
 
 	mu     sync.Mutex
-	number uint64
+	version uint64
 	set    *rule.Set
 	groups map[string][]string // services by host, as they were asked for
 
-	slotsAt uint64 // revision of the instances that were counted
-	slotsOf map[string]int
+	slotsRevision uint64 // revision of the instances that were counted
+	slotsByService map[string]int
 }
 
 // Option changes one property.
@@ -52,11 +52,11 @@
 func WithHostRate(rate float64) Option { return func(d *Directory) { d.hostRate = rate } }
 
 // WithMinHosts sets how many entry hosts serve a service at least.
-func WithMinHosts(n int) Option { return func(d *Directory) { d.least = n } }
+func WithMinHosts(n int) Option { return func(d *Directory) { d.minHosts = n } }
 
 // New returns a directory.
 func New(machine *state.Machine, hosts *fleet.Fleet, opts ...Option) *Directory {
-	d := &Directory{machine: machine, fleet: hosts, least: 1}
+	d := &Directory{machine: machine, fleet: hosts, minHosts: 1}
 	for _, opt := range opts {
 		opt(d)
 	}
@@ -66,14 +66,14 @@
 // Resolve returns the entry hosts that callers in a zone use for a host name,
 // those of their zone first, and whether any rule is for it.
 func (d *Directory) Resolve(host, zone string) (hosts []*wire.HostReport, known bool) {
-	services := d.together(strings.ToLower(host))
+	services := d.serviceGroup(strings.ToLower(host))
 	if len(services) == 0 {
 		return nil, false
 	}
 	entries := d.fleet.Polling(time.Now())
 	demand := d.demand(entries)
 	if few := demand.hosts(services); few <= placement.Zones(entries) {
-		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(few, d.least)}).Hosts(), true
+		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(few, d.minHosts)}).Hosts(), true
 	}
 	return placement.Near(entries, zone, d.pool(host, demand, entries)), true
 }
@@ -94,17 +94,17 @@
 
 // ActiveHosts returns the largest number of entry hosts that any name is served by.
 func (d *Directory) ActiveHosts() int {
-	most := d.least
+	most := d.minHosts
 	entries := d.fleet.Polling(time.Now())
 	demand := d.demand(entries)
-	for _, services := range d.allTogether() {
+	for _, services := range d.serviceGroups() {
 		most = max(most, min(demand.hosts(services), len(entries)))
 	}
 	return most
 }
 
-// allTogether returns the services of the names that were asked for.
-func (d *Directory) allTogether() [][]string {
+// serviceGroups returns the services of the names that were asked for.
+func (d *Directory) serviceGroups() [][]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := make([][]string, 0, len(d.groups))
@@ -114,15 +114,15 @@
 	return all
 }
 
-// together returns the services that are served by the same entry hosts as
+// serviceGroup returns the services that are served by the same entry hosts as
 // requests to a host.
-func (d *Directory) together(host string) []string {
+func (d *Directory) serviceGroup(host string) []string {
 	version, text := d.machine.InForce()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.set == nil || version.GetNumber() > d.number {
+	if d.set == nil || version.GetNumber() > d.version {
 		d.set, _ = rule.ReadChange(d.set, "rules", text)
-		d.number, d.groups = version.GetNumber(), map[string][]string{}
+		d.version, d.groups = version.GetNumber(), map[string][]string{}
 	}
 	services, known := d.groups[host]
 	if !known && d.set.HasHost(host) {
--- a/control/fleet/fleet.go
+++ b/control/fleet/fleet.go
@@ -29,7 +29,7 @@
 type Fleet struct {
 	mu      sync.Mutex
 	reports map[string]*wire.HostReport
-	heard   map[string]time.Time
+	lastSeen   map[string]time.Time
 	polls   map[string]int // that hosts hold open
 
 	suspects suspects
@@ -38,7 +38,7 @@
 // New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{
-		reports: map[string]*wire.HostReport{}, heard: map[string]time.Time{}, polls: map[string]int{},
+		reports: map[string]*wire.HostReport{}, lastSeen: map[string]time.Time{}, polls: map[string]int{},
 		suspects: newSuspects(),
 	}
 }
@@ -58,11 +58,11 @@
 	previous := f.reports[name]
 	if report.GetState() == StateLeft {
 		delete(f.reports, name)
-		delete(f.heard, name)
+		delete(f.lastSeen, name)
 		return previous
 	}
 	f.reports[name] = report
-	f.heard[name] = now
+	f.lastSeen[name] = now
 	return previous
 }
 
@@ -82,8 +82,8 @@
 		if f.polls[name]--; f.polls[name] == 0 {
 			delete(f.polls, name)
 		}
-		if _, known := f.heard[name]; known {
-			f.heard[name] = time.Now()
+		if _, known := f.lastSeen[name]; known {
+			f.lastSeen[name] = time.Now()
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	defer f.mu.Unlock()
 	var all []*wire.HostReport
 	for name, report := range f.reports {
-		if f.polls[name] > 0 || now.Sub(f.heard[name]) <= PollGrace {
+		if f.polls[name] > 0 || now.Sub(f.lastSeen[name]) <= PollGrace {
 			all = append(all, report)
 		}
 	}
@@ -113,19 +113,19 @@
 	defer f.mu.Unlock()
 	var all []*wire.HostReport
 	for name, report := range f.reports {
-		age := now.Sub(f.heard[name])
+		age := now.Sub(f.lastSeen[name])
 		if age > ForgetAfter {
 			delete(f.reports, name)
-			delete(f.heard, name)
+			delete(f.lastSeen, name)
 			continue
 		}
-		all = append(all, marked(report, age))
+		all = append(all, markSilent(report, age))
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].GetName() < all[j].GetName() })
 	return all
 }
 
-func marked(report *wire.HostReport, age time.Duration) *wire.HostReport {
+func markSilent(report *wire.HostReport, age time.Duration) *wire.HostReport {
 	if age <= SilentAfter {
 		return report
 	}
--- a/control/fleet/rate.go
+++ b/control/fleet/rate.go
@@ -13,7 +13,7 @@
 	defer f.mu.Unlock()
 	total := map[string]*wire.ServiceRate{}
 	for name, report := range f.reports {
-		if now.Sub(f.heard[name]) <= SilentAfter {
+		if now.Sub(f.lastSeen[name]) <= SilentAfter {
 			addRates(total, report)
 		}
 	}
--- a/control/fleet/seeds.go
+++ b/control/fleet/seeds.go
@@ -20,7 +20,7 @@
 	var seeds []*wire.GossipHost
 	seen := 0
 	for name, report := range f.reports {
-		if name == except || report.GetRole() != roleEntry || now.Sub(f.heard[name]) > SilentAfter {
+		if name == except || report.GetRole() != roleEntry || now.Sub(f.lastSeen[name]) > SilentAfter {
 			continue
 		}
 		seen++
--- a/control/fleet/suspects.go
+++ b/control/fleet/suspects.go
@@ -16,12 +16,12 @@
 type suspects struct {
 	mu       sync.Mutex
 	all      []*wire.Suspect // in order of their last change
-	changed  []uint64        // revision of the last change of each
+	revisions  []uint64        // revision of the last change of each
 	revision uint64
-	told     chan struct{} // closed with the next change
+	notify     chan struct{} // closed with the next change
 }
 
-func newSuspects() suspects { return suspects{told: make(chan struct{})} }
+func newSuspects() suspects { return suspects{notify: make(chan struct{})} }
 
 // add merges what a host reported.
 func (s *suspects) add(reported []*wire.Suspect) {
@@ -32,8 +32,8 @@
 		s.merge(one)
 	}
 	if s.revision != before {
-		close(s.told)
-		s.told = make(chan struct{})
+		close(s.notify)
+		s.notify = make(chan struct{})
 	}
 }
 
@@ -51,12 +51,12 @@
 		if len(merged.Instances) == len(known.GetInstances()) && merged.RefusedUntil == known.GetRefusedUntil() {
 			return
 		}
-		s.all, s.changed = slices.Delete(s.all, at, at+1), slices.Delete(s.changed, at, at+1)
+		s.all, s.revisions = slices.Delete(s.all, at, at+1), slices.Delete(s.revisions, at, at+1)
 	}
 	s.revision++
-	s.all, s.changed = append(s.all, merged), append(s.changed, s.revision)
+	s.all, s.revisions = append(s.all, merged), append(s.revisions, s.revision)
 	if len(s.all) > maxSuspects {
-		s.all, s.changed = s.all[1:], s.changed[1:]
+		s.all, s.revisions = s.all[1:], s.revisions[1:]
 	}
 }
 
@@ -66,7 +66,7 @@
 	s := &f.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first, _ := slices.BinarySearch(s.changed, after+1)
+	first, _ := slices.BinarySearch(s.revisions, after+1)
 	return slices.Clone(s.all[first:]), s.revision
 }
 
@@ -74,5 +74,5 @@
 func (f *Fleet) SuspectsChanged() <-chan struct{} {
 	f.suspects.mu.Lock()
 	defer f.suspects.mu.Unlock()
-	return f.suspects.told
+	return f.suspects.notify
 }
--- a/control/host/host.go
+++ b/control/host/host.go
@@ -29,8 +29,8 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// readHeaderLimit bounds how long a client may take to send its headers.
-const readHeaderLimit = 5 * time.Second
+// readHeaderTimeout bounds how long a client may take to send its headers.
+const readHeaderTimeout = 5 * time.Second
 
 // New returns the application of one control host.
 func New(cfg *settings.Settings, logger hclog.Logger, opts ...Option) *fx.App {
@@ -75,7 +75,7 @@
 	mux.Handle(wire.QuorumPathPrefix, ring.Guard(wire.NewQuorumServer(node.Service())))
 	handleGroup(mux, operators, wire.NewGroupServer(node.Group()))
 	handleHealth(mux, node, exporter)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderLimit}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			listener, err := net.Listen("tcp", cfg.Listen.Peers)
--- a/control/host/listener.go
+++ b/control/host/listener.go
@@ -78,7 +78,7 @@
 		all = append(all, Listener{Name: "metrics", Address: cfg.Listen.Metrics, Handler: mux})
 	}
 	for _, one := range all {
-		server := &http.Server{Handler: one.Handler, ReadHeaderTimeout: readHeaderLimit}
+		server := &http.Server{Handler: one.Handler, ReadHeaderTimeout: readHeaderTimeout}
 		lc.Append(fx.Hook{
 			OnStart: func(ctx context.Context) error {
 				listener, err := link.Listen(ctx, one.Address, link.Message)
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -19,7 +19,7 @@
 // replica is what the data folder held at the start.
 type replica struct {
 	store *disk.Store
-	saved quorum.PersistentState
+	persisted quorum.PersistentState
 }
 
 func newReplica(cfg *settings.Settings) (*replica, error) {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &replica{store: store, saved: saved}, nil
+	return &replica{store: store, persisted: saved}, nil
 }
 
 func newNode(cfg *settings.Settings, logger hclog.Logger, ring *key.Ring, operators operatorRing, r *replica, current *seeds, machine *state.Machine) (*peer.Node, error) {
@@ -43,7 +43,7 @@
 		Client:         func(t http.RoundTripper) *http.Client { return ring.Client(&http.Client{Transport: t}) },
 		OperatorClient: func(t http.RoundTripper) *http.Client { return operators.Client(&http.Client{Transport: t}) },
 		Logger:         logger,
-	}, r.store, r.saved, machine)
+	}, r.store, r.persisted, machine)
 }
 
 func initialHosts(cfg *settings.Settings) []peer.Host {
--- a/control/operator/confirm.go
+++ b/control/operator/confirm.go
@@ -16,12 +16,12 @@
 
 	mu      sync.Mutex
 	running bool
-	next    *question
+	next    *confirmation
 }
 
-// question is one confirmation that several wait for.
-type question struct {
-	askedAt time.Time
+// confirmation is one confirmation that several wait for.
+type confirmation struct {
+	startedAt time.Time
 	err     error
 	done    chan struct{}
 }
@@ -34,41 +34,41 @@
 	q := c.join()
 	select {
 	case <-q.done:
-		return time.Since(q.askedAt), q.err
+		return time.Since(q.startedAt), q.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-func (c *confirmer) join() *question {
+func (c *confirmer) join() *confirmation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next == nil {
-		c.next = &question{done: make(chan struct{})}
+		c.next = &confirmation{done: make(chan struct{})}
 		if !c.running {
 			c.running = true
-			go c.ask()
+			go c.run()
 		}
 	}
 	return c.next
 }
 
-// ask asks until nobody waits.
-func (c *confirmer) ask() {
+// run asks until nobody waits.
+func (c *confirmer) run() {
 	for {
 		q := c.take()
 		if q == nil {
 			return
 		}
-		q.askedAt = time.Now()
-		ctx, cancel := context.WithTimeout(context.Background(), confirmLimit)
+		q.startedAt = time.Now()
+		ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 		q.err = c.log.Confirm(ctx)
 		cancel()
 		close(q.done)
 	}
 }
 
-func (c *confirmer) take() *question {
+func (c *confirmer) take() *confirmation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.next
--- a/control/operator/rules.go
+++ b/control/operator/rules.go
@@ -25,7 +25,7 @@
 // Bounds of one call.
 const (
 	maxHistory   = 10_000
-	confirmLimit = time.Second
+	confirmTimeout = time.Second
 	maxTextBytes = rule.MaxFileBytes
 )
 
@@ -33,19 +33,19 @@
 type Rules struct {
 	name    string
 	zone    string
-	names   Directory // nil: watchers are not told of names
+	directory   Directory // nil: watchers are not told of names
 	log     agreement.Log
 	machine *state.Machine
 	fleet   *fleet.Fleet
-	watched watched
-	whole   watched // from an empty text
-	shared  *confirmer
-	checked atomic.Pointer[rule.Set] // the last submission without errors
+	deltas deltaCache
+	fullTexts   deltaCache // from an empty text
+	confirmer  *confirmer
+	lastValid atomic.Pointer[rule.Set] // the last submission without errors
 }
 
 // New returns the service of one control host.
 func New(name string, log agreement.Log, machine *state.Machine, hosts *fleet.Fleet) *Rules {
-	return &Rules{name: name, log: log, machine: machine, fleet: hosts, shared: newConfirmer(log)}
+	return &Rules{name: name, log: log, machine: machine, fleet: hosts, confirmer: newConfirmer(log)}
 }
 
 // Directory tells how entry hosts divide what callers of names ask for.
@@ -56,7 +56,7 @@
 
 // WithDirectory sets how watchers are told what part they have.
 func (s *Rules) WithDirectory(names Directory) *Rules {
-	s.names = names
+	s.directory = names
 	return s
 }
 
@@ -74,11 +74,11 @@
 	if len(req.GetText()) > maxTextBytes {
 		return nil, twirp.InvalidArgumentError("text", fmt.Sprintf("is larger than %d bytes", maxTextBytes))
 	}
-	set, findings := rule.ParseChange(s.checked.Load(), "rules", req.GetText())
+	set, findings := rule.ParseChange(s.lastValid.Load(), "rules", req.GetText())
 	if err := findings.Err(); err != nil {
 		return nil, twirp.InvalidArgumentError("text", err.Error())
 	}
-	s.checked.Store(set)
+	s.lastValid.Store(set)
 	cmd := &wire.Command{At: time.Now().UnixNano(), Body: &wire.Command_Submit{Submit: req}}
 	result, err := s.log.Propose(ctx, cmd)
 	if err != nil {
@@ -127,7 +127,7 @@
 }
 
 func (s *Rules) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, confirmLimit)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	return s.log.Confirm(ctx)
 }
--- a/control/operator/watch.go
+++ b/control/operator/watch.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxWatch bounds a long poll.
-	maxWatch = 10 * time.Second
-	// gatherTime is how long changes of instances are gathered before a poll is
+	// maxWatchWait bounds a long poll.
+	maxWatchWait = 10 * time.Second
+	// batchDelay is how long changes of instances are gathered before a poll is
 	// answered with them; drains must be known within seconds.
-	gatherTime = 150 * time.Millisecond
-	// quorumInterval is how often a poll for instances is given up when this
+	batchDelay = 150 * time.Millisecond
+	// quorumCheckInterval is how often a poll for instances is given up when this
 	// host has lost the quorum: another one tells of them then.
-	quorumInterval = 250 * time.Millisecond
+	quorumCheckInterval = 250 * time.Millisecond
 )
 
 // Watch records the host's report and waits for a version or records of
@@ -36,7 +36,7 @@
 	if req.GetKnownVersion() == 0 {
 		response.Previous = previous
 	}
-	if s.mayConfirm(req, newer) {
+	if s.shouldConfirm(req, newer) {
 		s.confirmWatch(ctx, response)
 	}
 	version, text := s.machine.InForce()
@@ -51,10 +51,10 @@
 	return response, nil
 }
 
-// mayConfirm reports whether the quorum is asked before the answer: not if a
+// shouldConfirm reports whether the quorum is asked before the answer: not if a
 // newer version is told at once, and not by a host that lost its quorum when
 // the watcher has another one to turn to.
-func (s *Rules) mayConfirm(req *wire.WatchRequest, newer bool) bool {
+func (s *Rules) shouldConfirm(req *wire.WatchRequest, newer bool) bool {
 	if req.GetKnownVersion() == 0 {
 		return true
 	}
@@ -71,8 +71,8 @@
 		response.Seeds = s.fleet.Seeds(req.GetReport().GetName(), time.Now())
 		return
 	}
-	if s.names != nil {
-		response.ActiveHosts = uint32(s.names.ActiveHosts())
+	if s.directory != nil {
+		response.ActiveHosts = uint32(s.directory.ActiveHosts())
 	}
 	response.Instances, response.InstancesRevision = s.machine.Instances(req.GetKnownInstances())
 	response.Suspects, response.SuspectsRevision = s.fleet.Suspects(req.GetKnownSuspects())
@@ -83,18 +83,18 @@
 func (s *Rules) await(ctx context.Context, req *wire.WatchRequest) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxWatch)
+	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	lost := s.quorumLost(ctx, req)
 	for {
 		changed, told := s.machine.Changed(), s.fleet.SuspectsChanged()
-		if s.newer(req) {
+		if s.hasNewerVersion(req) {
 			return true
 		}
-		if s.news(req) {
-			pause.For(ctx, gatherTime)
-			return s.newer(req)
+		if s.hasChanges(req) {
+			pause.For(ctx, batchDelay)
+			return s.hasNewerVersion(req)
 		}
 		select {
 		case <-changed:
@@ -117,7 +117,7 @@
 	}
 	lost := make(chan struct{})
 	go func() {
-		for pause.For(ctx, quorumInterval) {
+		for pause.For(ctx, quorumCheckInterval) {
 			if !s.log.Status().Quorum() {
 				close(lost)
 				return
@@ -127,13 +127,13 @@
 	return lost
 }
 
-func (s *Rules) newer(req *wire.WatchRequest) bool {
+func (s *Rules) hasNewerVersion(req *wire.WatchRequest) bool {
 	version, _ := s.machine.InForce()
 	return version.GetNumber() > req.GetKnownVersion()
 }
 
-// news reports whether there is something to tell beside a version.
-func (s *Rules) news(req *wire.WatchRequest) bool {
+// hasChanges reports whether there is something to tell beside a version.
+func (s *Rules) hasChanges(req *wire.WatchRequest) bool {
 	if !req.GetInstances() {
 		return false
 	}
@@ -144,7 +144,7 @@
 // confirmWatch asks before the version is read, so that the version is at
 // least as new as any that was accepted before the question.
 func (s *Rules) confirmWatch(ctx context.Context, response *wire.WatchResponse) {
-	age, err := s.shared.confirm(ctx)
+	age, err := s.confirmer.confirm(ctx)
 	response.Stale = err != nil
 	response.ConfirmAgeNs = int64(age)
 }
@@ -154,37 +154,37 @@
 func (s *Rules) addText(req *wire.WatchRequest, response *wire.WatchResponse, text string) {
 	if !req.GetWhole() && req.GetKnownVersion() > 0 {
 		_, known := s.machine.Version(req.GetKnownVersion())
-		if data := s.watched.difference(req.GetKnownVersion(), response.GetVersion().GetNumber(), known, text); len(data) > 0 && len(data) < len(text) {
+		if data := s.deltas.get(req.GetKnownVersion(), response.GetVersion().GetNumber(), known, text); len(data) > 0 && len(data) < len(text) {
 			response.Delta = data
 			return
 		}
 	}
-	if data := s.packed(response.GetVersion().GetNumber(), text); len(data) > 0 {
+	if data := s.compressed(response.GetVersion().GetNumber(), text); len(data) > 0 {
 		response.Delta, response.Whole = data, true
 		return
 	}
 	response.Text = text
 }
 
-// packBytes is the size from which a whole text is told compressed.
-const packBytes = 1 << 10
+// minCompressBytes is the size from which a whole text is told compressed.
+const minCompressBytes = 1 << 10
 
-// packed returns the difference from an empty text, nil for a short text.
-func (s *Rules) packed(number uint64, text string) []byte {
-	if len(text) < packBytes {
+// compressed returns the difference from an empty text, nil for a short text.
+func (s *Rules) compressed(number uint64, text string) []byte {
+	if len(text) < minCompressBytes {
 		return nil
 	}
-	return s.whole.difference(0, number, "", text)
+	return s.fullTexts.get(0, number, "", text)
 }
 
-// watched keeps the last difference: most hosts know the version before.
-type watched struct {
+// deltaCache keeps the last difference: most hosts know the version before.
+type deltaCache struct {
 	mu       sync.Mutex
 	from, to uint64
 	data     []byte
 }
 
-func (w *watched) difference(from, to uint64, older, newer string) []byte {
+func (w *deltaCache) get(from, to uint64, older, newer string) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.from == from && w.to == to {
--- a/control/upstream/upstream.go
+++ b/control/upstream/upstream.go
@@ -32,10 +32,10 @@
 	// DefaultLease is the time without an announcement after which an instance
 	// is silent: three intervals of 1.5 s and half a second on the way.
 	DefaultLease = 5 * time.Second
-	// leaseInterval is how often leases are looked at.
-	leaseInterval = 500 * time.Millisecond
-	// leaseLimit bounds the report of one silent instance.
-	leaseLimit = time.Second
+	// leaseCheckInterval is how often leases are looked at.
+	leaseCheckInterval = 500 * time.Millisecond
+	// reportTimeout bounds the report of one silent instance.
+	reportTimeout = time.Second
 )
 
 // ErrNoQuorum means that this host is cut off from the control group.
@@ -50,7 +50,7 @@
 	logger  hclog.Logger
 
 	mu    sync.Mutex
-	heard map[string]time.Time // by the instance's id
+	renewed map[string]time.Time // by the instance's id
 }
 
 // Option changes one property.
@@ -64,7 +64,7 @@
 func New(name string, log agreement.Log, machine *state.Machine, logger hclog.Logger, opts ...Option) *Instances {
 	i := &Instances{
 		name: name, log: log, machine: machine, lease: DefaultLease, logger: logger.Named("upstream"),
-		heard: map[string]time.Time{},
+		renewed: map[string]time.Time{},
 	}
 	for _, opt := range opts {
 		opt(i)
@@ -83,7 +83,7 @@
 		i.renew(m.GetId())
 		return nil
 	}
-	result, err := i.announce(ctx, m)
+	result, err := i.propose(ctx, m)
 	if err != nil {
 		return err
 	}
@@ -102,18 +102,18 @@
 // Withdraw takes an instance's word that it leaves.
 func (i *Instances) Withdraw(ctx context.Context, m *wire.Instance) error {
 	m.HeardBy, m.Gone, m.Left, m.Draining = i.name, true, true, true
-	result, err := i.announce(ctx, m)
+	result, err := i.propose(ctx, m)
 	if err != nil {
 		return err
 	}
 	i.mu.Lock()
-	delete(i.heard, m.GetId())
+	delete(i.renewed, m.GetId())
 	i.mu.Unlock()
 	i.logger.Info("instance left", "instance", m.GetId(), "incarnation", m.GetIncarnation(), "changed", result.GetChanged())
 	return nil
 }
 
-func (i *Instances) announce(ctx context.Context, m *wire.Instance) (*wire.AnnouncementResult, error) {
+func (i *Instances) propose(ctx context.Context, m *wire.Instance) (*wire.AnnouncementResult, error) {
 	cmd := &wire.Command{At: time.Now().UnixNano(), Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: m}}}
 	result, err := i.log.Propose(ctx, cmd)
 	return result.GetAnnounce(), errors.Wrap(err, "commit an announcement")
@@ -122,26 +122,26 @@
 func (i *Instances) renew(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.heard[id] = time.Now()
+	i.renewed[id] = time.Now()
 }
 
 // Run reports instances whose lease has ended, until the context ends.
 func (i *Instances) Run(ctx context.Context) {
-	for pause.For(ctx, leaseInterval) {
+	for pause.For(ctx, leaseCheckInterval) {
 		if !i.log.Status().Quorum() {
 			continue
 		}
-		for _, m := range i.ended(time.Now()) {
-			i.silence(ctx, m)
+		for _, m := range i.expired(time.Now()) {
+			i.reportSilent(ctx, m)
 		}
 	}
 }
 
-// ended returns the instances whose lease has ended, as far as this host is
+// expired returns the instances whose lease has ended, as far as this host is
 // the one to say so.
-func (i *Instances) ended(now time.Time) []*wire.Instance {
+func (i *Instances) expired(now time.Time) []*wire.Instance {
 	all, _ := i.machine.Instances(0)
-	reached := i.reached()
+	reached := i.reachableHosts()
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	var ended []*wire.Instance
@@ -151,14 +151,14 @@
 		}
 		mine := m.GetHeardBy() == i.name
 		if !mine && (reached == nil || reached[m.GetHeardBy()]) {
-			delete(i.heard, m.GetId())
+			delete(i.renewed, m.GetId())
 			continue
 		}
-		since, known := i.heard[m.GetId()]
+		since, known := i.renewed[m.GetId()]
 		if !known {
 			// The lease begins anew where nothing is known of it.
 			since = now
-			i.heard[m.GetId()] = now
+			i.renewed[m.GetId()] = now
 		}
 		if now.Sub(since) > i.lease {
 			ended = append(ended, m)
@@ -167,9 +167,9 @@
 	return ended
 }
 
-// reached returns the control hosts that the leader reaches, or nil if this
+// reachableHosts returns the control hosts that the leader reaches, or nil if this
 // host does not lead.
-func (i *Instances) reached() map[string]bool {
+func (i *Instances) reachableHosts() map[string]bool {
 	status := i.log.Status()
 	if status.Leader() != i.name {
 		return nil
@@ -181,11 +181,11 @@
 	return reached
 }
 
-func (i *Instances) silence(ctx context.Context, m *wire.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, leaseLimit)
+func (i *Instances) reportSilent(ctx context.Context, m *wire.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	silent := &wire.Instance{Id: m.GetId(), Incarnation: m.GetIncarnation(), HeardBy: m.GetHeardBy(), Silent: true}
-	result, err := i.announce(ctx, silent)
+	result, err := i.propose(ctx, silent)
 	if err != nil || !result.GetChanged() {
 		return // it is looked at again
 	}
