--- a/control/directory/demand.go
+++ b/control/directory/demand.go
@@ -7,22 +7,24 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Assumptions of services of which no rate is known.
+// Assumptions about services without a reported rate.
 const (
-	// minSlotRate is the requests a second of each slot of the instances: a
-	// share of what a slot carries of requests that take a quarter of a second.
+	// minSlotRate is the assumed requests per second of each slot of the
+	// instances: a fraction of the 4 requests per second that a slot processes
+	// if each takes a quarter of a second.
 	minSlotRate = 0.5
-	// defaultBodyBytes is the size of a request's body: it may be an upload.
+	// defaultBodyBytes is the assumed body size of a request, which may be an
+	// upload.
 	defaultBodyBytes = 64 << 10
 )
 
-// demand is what the services ask of entry hosts, and what one host can take: as
-// much as the weakest one reports. A capacity of 0 is not known.
+// demand is the load of the services on entry hosts, and the capacity of one
+// host: the lowest that any host reports. A capacity of 0 is unknown.
 type demand struct {
 	rates     map[string]*wire.ServiceRate
 	slots     map[string]int
-	hostRate  float64 // requests a second
-	hostBytes float64 // of bodies, a second
+	hostRate  float64 // requests per second
+	hostBytes float64 // body bytes per second
 }
 
 func (d *Directory) demand(entries []*wire.HostReport) demand {
@@ -37,48 +39,49 @@
 	return all
 }
 
-// hosts returns how many entry hosts carry all requests for services.
+// hosts returns how many entry hosts the given services need in total.
 func (d demand) hosts(services []string) int {
 	sum := d.sum(services)
 	return d.count(sum.rate, sum.bytes+sum.bulk)
 }
 
-// pools returns how many entry hosts carry the requests for services with small
-// bodies, and how many those with large ones.
+// pools returns how many entry hosts the given services need for requests with
+// small bodies, and how many for requests with large bodies.
 func (d demand) pools(services []string) (light, bulk int) {
 	sum := d.sum(services)
 	return d.count(sum.rate, sum.bytes), d.count(0, sum.bulk)
 }
 
-// count returns how many hosts carry requests and bytes a second, at least one.
+// count returns how many hosts the given requests and body bytes per second
+// need, at least one.
 func (d demand) count(rate, bytes float64) int {
 	return max(placement.ActiveCount(rate, d.hostRate), placement.ActiveCount(bytes, d.hostBytes))
 }
 
-// load is what services ask for, each a second.
+// load is a load in requests per second and in body bytes per second of small
+// and of large bodies.
 type load struct{ rate, bytes, bulk float64 }
 
-// sum adds up what services ask for. As long as no rate is known, all bodies may
-// be large.
+// sum returns the total load of the given services. All requests to a service
+// without a reported rate are assumed to have large bodies.
 func (d demand) sum(services []string) load {
 	var sum load
 	for _, service := range services {
-		known := d.rates[service]
-		expected := max(known.GetArrivalsPerS(), minSlotRate*float64(d.slots[service]))
+		reported := d.rates[service]
+		expected := max(reported.GetArrivalsPerS(), minSlotRate*float64(d.slots[service]))
 		sum.rate += expected
-		if known.GetArrivalsPerS() <= 0 {
+		if reported.GetArrivalsPerS() <= 0 {
 			sum.bulk += expected * defaultBodyBytes
 			continue
 		}
-		scale := expected / known.GetArrivalsPerS()
-		sum.bytes += known.GetBytesPerS() * scale
-		sum.bulk += known.GetBulkBytesPerS() * scale
+		scale := expected / reported.GetArrivalsPerS()
+		sum.bytes += reported.GetBytesPerS() * scale
+		sum.bulk += reported.GetBulkBytesPerS() * scale
 	}
 	return sum
 }
 
-// minCapacity returns the lower of two capacities, of which 0 stands for one that is
-// not known.
+// minCapacity returns the lower of two capacities, where 0 is an unknown one.
 func minCapacity(a, b float64) float64 {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -86,7 +89,7 @@
 	return a
 }
 
-// slots returns the slots of the instances of each service.
+// slots returns the number of slots of each service, summed over its instances.
 func (d *Directory) slots() map[string]int {
 	revision := d.machine.InstancesRevision()
 	d.mu.Lock()
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -1,12 +1,13 @@
-// Package directory tells callers which entry hosts to use for a host name.
-// Few entry hosts serve one service, so that what each of them has in flight
-// is nearly the whole truth about the service's instances; names that share a
-// service share their entry hosts. More are named as the rate asks for it.
+// Package directory resolves host names for callers: it returns the entry hosts
+// to use for a host name. Few entry hosts serve one service, so that each of
+// them sees nearly all requests in flight at the service's instances. Host
+// names that share a service share their entry hosts. The number of entry hosts
+// grows with the request rate.
 //
 // Usage:
 //
 //	d := directory.New(machine, fleet, directory.WithHostRate(50))
-//	hosts, known := d.Resolve("counter.example", "shawinigan")
+//	hosts, found := d.Resolve("counter.example", "shawinigan")
 package directory
 
 import (
@@ -21,37 +22,37 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// TTL is how long callers keep an answer.
+// TTL is how long callers may cache a response.
 const TTL = 2 * time.Second
 
-// maxHosts is how many entry hosts one answer names at most.
+// maxHosts limits the entry hosts in one response.
 const maxHosts = 64
 
-// Directory answers from the rules in force and the entry hosts that poll this
-// control host.
+// Directory resolves host names from the rules in force and the entry hosts that
+// poll this control host.
 type Directory struct {
 	machine  *state.Machine
 	fleet    *fleet.Fleet
 	hostRate float64
-	minHosts    int
+	minHosts int
 
-	mu     sync.Mutex
+	mu      sync.Mutex
 	version uint64
-	set    *rule.Set
-	groups map[string][]string // services by host, as they were asked for
+	set     *rule.Set
+	groups  map[string][]string // services by host name, filled on demand
 
-	slotsRevision uint64 // revision of the instances that were counted
+	slotsRevision  uint64 // revision of the instances in slotsByService
 	slotsByService map[string]int
 }
 
-// Option changes one property.
+// Option configures a Directory.
 type Option func(*Directory)
 
-// WithHostRate sets the requests a second of a service that one entry host
-// takes, 0 for no bound.
+// WithHostRate sets the requests per second of a service that one entry host
+// handles. 0 means no limit.
 func WithHostRate(rate float64) Option { return func(d *Directory) { d.hostRate = rate } }
 
-// WithMinHosts sets how many entry hosts serve a service at least.
+// WithMinHosts sets the minimum number of entry hosts of a service.
 func WithMinHosts(n int) Option { return func(d *Directory) { d.minHosts = n } }
 
 // New returns a directory.
@@ -64,46 +65,50 @@
 }
 
 // Resolve returns the entry hosts that callers in a zone use for a host name,
-// those of their zone first, and whether any rule is for it.
-func (d *Directory) Resolve(host, zone string) (hosts []*wire.HostReport, known bool) {
+// those of their zone first, and whether any rule applies to the host name.
+func (d *Directory) Resolve(host, zone string) (hosts []*wire.HostReport, found bool) {
 	services := d.serviceGroup(strings.ToLower(host))
 	if len(services) == 0 {
 		return nil, false
 	}
 	entries := d.fleet.Polling(time.Now())
 	demand := d.demand(entries)
-	if few := demand.hosts(services); few <= placement.Zones(entries) {
-		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(few, d.minHosts)}).Hosts(), true
+	if n := demand.hosts(services); n <= placement.Zones(entries) {
+		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(n, d.minHosts)}).Hosts(), true
 	}
 	return placement.Near(entries, zone, d.pool(host, demand, entries)), true
 }
 
-// pool returns which entry hosts callers of a name share with others.
+// pool returns the pool of entry hosts that callers of a host name share with
+// callers of other names.
 func (d *Directory) pool(host string, demand demand, entries []*wire.HostReport) placement.Pool {
 	d.mu.Lock()
 	all, bulk := d.set.Services(), d.set.Bulk(strings.ToLower(host))
 	d.mu.Unlock()
-	light, large := demand.pools(all)
-	pool := placement.Pool{N: light, Most: maxHosts, Bulk: bulk}
+	small, large := demand.pools(all)
+	pool := placement.Pool{N: small, Most: maxHosts, Bulk: bulk}
 	if bulk {
-		// No other requests wait there; each zone rounds up.
-		pool.N = max(large, len(entries)-light-placement.Zones(entries)+1)
+		// Large bodies get all hosts that small ones do not need, because no
+		// other requests wait there. Each zone rounds up its share.
+		pool.N = max(large, len(entries)-small-placement.Zones(entries)+1)
 	}
 	return pool
 }
 
-// ActiveHosts returns the largest number of entry hosts that any name is served by.
+// ActiveHosts returns the largest number of entry hosts that serve one host
+// name.
 func (d *Directory) ActiveHosts() int {
-	most := d.minHosts
+	n := d.minHosts
 	entries := d.fleet.Polling(time.Now())
 	demand := d.demand(entries)
 	for _, services := range d.serviceGroups() {
-		most = max(most, min(demand.hosts(services), len(entries)))
+		n = max(n, min(demand.hosts(services), len(entries)))
 	}
-	return most
+	return n
 }
 
-// serviceGroups returns the services of the names that were asked for.
+// serviceGroups returns the service groups of all host names resolved under the
+// current rules.
 func (d *Directory) serviceGroups() [][]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,8 +119,8 @@
 	return all
 }
 
-// serviceGroup returns the services that are served by the same entry hosts as
-// requests to a host.
+// serviceGroup returns the services that share their entry hosts with a host
+// name, or none if no rule applies to it.
 func (d *Directory) serviceGroup(host string) []string {
 	version, text := d.machine.InForce()
 	d.mu.Lock()
@@ -124,8 +129,8 @@
 		d.set, _ = rule.ReadChange(d.set, "rules", text)
 		d.version, d.groups = version.GetNumber(), map[string][]string{}
 	}
-	services, known := d.groups[host]
-	if !known && d.set.HasHost(host) {
+	services, ok := d.groups[host]
+	if !ok && d.set.HasHost(host) {
 		services = d.set.Together(host)
 		d.groups[host] = services
 	}
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -33,13 +33,13 @@
 
 func TestNamesThatShareAServiceShareTheirEntryHosts(t *testing.T) {
 	d := newDirectory(29, 10, 100)
-	first, known := d.Resolve("A.example", "z0")
-	must.True(t, known)
+	first, found := d.Resolve("A.example", "z0")
+	must.True(t, found)
 	must.Len(t, 1, first)
 	second, _ := d.Resolve("b.example", "z1")
 	must.Eq(t, first[0].GetName(), second[0].GetName())
-	_, known = d.Resolve("none.example", "z0")
-	must.False(t, known)
+	_, found = d.Resolve("none.example", "z0")
+	must.False(t, found)
 }
 
 func names(hosts []*wire.HostReport) map[string]bool {
@@ -50,10 +50,10 @@
 	return all
 }
 
-func TestMoreHostsAreNamedThanOneCanTakeThoseOfTheCallersZone(t *testing.T) {
+func TestRatesAboveOneHostsCapacityReturnHostsOfTheCallersZone(t *testing.T) {
 	d := newDirectory(29, 1000, 100)
 	hosts, _ := d.Resolve("a.example", "z0")
-	must.Len(t, 4, hosts) // a third of ten, rounded up
+	must.Len(t, 4, hosts) // a third of 10, rounded up
 	for _, host := range hosts {
 		must.Eq(t, "z0", host.GetZone())
 	}
@@ -64,13 +64,13 @@
 	must.Len(t, 4, elsewhere)
 }
 
-func TestOneAnswerNamesNoMoreHostsThanCallersTake(t *testing.T) {
+func TestResolveReturnsAtMostMaxHosts(t *testing.T) {
 	d := newDirectory(300, 1e6, 100)
 	hosts, _ := d.Resolve("a.example", "z0")
 	must.Len(t, 64, hosts)
 }
 
-func TestLargeBodiesGoToOtherHostsThanSmallOnes(t *testing.T) {
+func TestLargeAndSmallBodiesUseDifferentHosts(t *testing.T) {
 	m, f := state.New(), fleet.New()
 	m.Apply(&wire.Command{Body: &wire.Command_Submit{Submit: &wire.SubmitRequest{SubmissionId: "1", Number: 7, Text: `
 service shop: owner "x" # Marie: why
@@ -92,18 +92,18 @@
 	d := directory.New(m, f)
 	small, _ := d.Resolve("a.example", "z1")
 	large, _ := d.Resolve("b.example", "z1")
-	must.Len(t, 7, small) // 500 kB a second are 19 hosts of three zones
+	must.Len(t, 7, small) // 500 kB/s need 19 hosts in three zones
 	must.Len(t, 13, large)
 	for name := range names(small) {
 		must.False(t, names(large)[name], must.Sprint(name))
 	}
 }
 
-func TestAHostThatDoesNotPollIsNotNamed(t *testing.T) {
+func TestAHostThatDoesNotPollIsNotReturned(t *testing.T) {
 	f := fleet.New()
-	_, leave := f.BeginPoll(&wire.HostReport{Name: "e", Role: "entry", State: "ready"}, time.Now())
+	_, end := f.BeginPoll(&wire.HostReport{Name: "e", Role: "entry", State: "ready"}, time.Now())
 	must.Len(t, 1, f.Polling(time.Now().Add(time.Hour)))
-	leave()
+	end()
 	must.Len(t, 1, f.Polling(time.Now()))
 	must.SliceEmpty(t, f.Polling(time.Now().Add(2*fleet.PollGrace)))
 }
--- a/control/entry/claims.go
+++ b/control/entry/claims.go
@@ -16,7 +16,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Claims implements the Twirp service.
+// Claims implements the Twirp service Claims.
 type Claims struct {
 	log     agreement.Log
 	machine *state.Machine
@@ -36,25 +36,25 @@
 	return result, nil
 }
 
-// Claim grants a key to the first attempt.
+// Claim grants a key to the first attempt that claims it.
 func (s *Claims) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	result, err := s.propose(ctx, &wire.Command{Body: &wire.Command_Claim{Claim: req}})
 	return result.GetClaim(), err
 }
 
-// Complete stores the answer of the attempt that holds the key.
+// Complete stores the response of the attempt that holds the key.
 func (s *Claims) Complete(ctx context.Context, req *wire.CompleteRequest) (*wire.CompleteResponse, error) {
 	result, err := s.propose(ctx, &wire.Command{Body: &wire.Command_Complete{Complete: req}})
 	return result.GetComplete(), err
 }
 
-// Release removes a claim whose holder never dispatched.
+// Release removes a claim whose holder did not dispatch the request.
 func (s *Claims) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	result, err := s.propose(ctx, &wire.Command{Body: &wire.Command_Release{Release: req}})
 	return result.GetRelease(), err
 }
 
-// Show returns what is known of one claim.
+// Show returns the state of one claim.
 func (s *Claims) Show(ctx context.Context, req *wire.ShowClaimRequest) (*wire.ShowClaimResponse, error) {
 	if err := s.log.Confirm(ctx); err != nil {
 		return nil, operator.ProposeError(err)
@@ -62,7 +62,7 @@
 	return s.machine.ShowClaim(req.GetKey()), nil
 }
 
-// Resolve records an operator's word on a claim that was never completed.
+// Resolve records an operator's decision on a claim that was not completed.
 func (s *Claims) Resolve(ctx context.Context, req *wire.ResolveClaimRequest) (*wire.ResolveClaimResponse, error) {
 	result, err := s.propose(ctx, &wire.Command{Body: &wire.Command_Resolve{Resolve: req}})
 	return result.GetResolve(), err
--- a/control/flags.go
+++ b/control/flags.go
@@ -2,10 +2,11 @@
 
 import "github.com/snipebeam/snipebeam/world/program"
 
-// source says where a control host's settings come from.
+// source defines the default settings file and the prefix of the environment
+// variables of a control host.
 var source = program.Source{Default: "control.toml", Environment: "SNIPEBEAM_CONTROL_HOST"}
 
-// settingFlags go before the settings file; each names its key.
+// settingFlags override the settings file. The key tag names the setting.
 type settingFlags struct {
 	Name      *string `name:"name" key:"host.name" help:"Unique name of this host."`
 	Zone      *string `name:"zone" key:"host.zone" help:"Availability zone."`
--- a/control/fleet/fleet.go
+++ b/control/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet keeps what entry hosts last reported to this control host. It
-// is not durable: every entry host reports again within its poll interval.
+// Package fleet keeps the latest reports of entry hosts to this control host.
+// They are kept in memory only, because every entry host reports again within
+// its poll interval.
 //
 // Usage:
 //
@@ -16,21 +17,21 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// SilentAfter is how long after its last report a host counts as silent.
+// SilentAfter is the time without a report after which a host is silent.
 const SilentAfter = 5 * time.Second
 
-// ForgetAfter is how long after its last report a host is forgotten.
+// ForgetAfter is the time without a report after which a host is removed.
 const ForgetAfter = 10 * time.Minute
 
-// StateSilent is shown for a host that has not reported in time.
+// StateSilent is the state of a host that has not reported within SilentAfter.
 const StateSilent = "silent"
 
 // Fleet holds the latest report of each host.
 type Fleet struct {
-	mu      sync.Mutex
-	reports map[string]*wire.HostReport
-	lastSeen   map[string]time.Time
-	polls   map[string]int // that hosts hold open
+	mu       sync.Mutex
+	reports  map[string]*wire.HostReport
+	lastSeen map[string]time.Time
+	polls    map[string]int // open long polls by host
 
 	suspects suspects
 }
@@ -43,11 +44,11 @@
 	}
 }
 
-// StateLeft is the state of a host's last report: it stopped as planned.
+// StateLeft is the state in the last report of a host after an orderly shutdown.
 const StateLeft = "left"
 
-// Report stores a host's report, heard at the given time, and returns the one
-// before, or nil. A host that left is forgotten.
+// Report stores a host's report, received at the given time, and returns the
+// previous one, or nil. A host that left is removed.
 func (f *Fleet) Report(report *wire.HostReport, now time.Time) *wire.HostReport {
 	name := report.GetName()
 	if name == "" {
@@ -66,10 +67,10 @@
 	return previous
 }
 
-// BeginPoll stores the report of a host that begins to poll, as Report does. The
-// host counts as reached until the poll has ended, and for ReachedAfter from
-// then on.
-func (f *Fleet) BeginPoll(report *wire.HostReport, now time.Time) (previous *wire.HostReport, leave func()) {
+// BeginPoll stores the report of a host at the start of a long poll, as Report
+// does. The host counts as polling until the returned function is called at the
+// end of the poll, and for PollGrace after that.
+func (f *Fleet) BeginPoll(report *wire.HostReport, now time.Time) (previous *wire.HostReport, end func()) {
 	previous = f.Report(report, now)
 	f.suspects.add(report.GetSuspects())
 	name := report.GetName()
@@ -82,18 +83,19 @@
 		if f.polls[name]--; f.polls[name] == 0 {
 			delete(f.polls, name)
 		}
-		if _, known := f.lastSeen[name]; known {
+		if _, ok := f.lastSeen[name]; ok {
 			f.lastSeen[name] = time.Now()
 		}
 	}
 }
 
-// PollGrace is how long after its last poll a host still counts as reached:
-// the pause between two polls and the way there, with a margin for busy hosts.
+// PollGrace is how long after its last poll a host still counts as polling. It
+// covers the pause between two polls and the network latency, with a margin
+// for busy hosts.
 const PollGrace = 500 * time.Millisecond
 
-// Polling returns the latest reports of the hosts that poll this control host
-// now, in order of names.
+// Polling returns the latest reports of the hosts that currently poll this
+// control host, sorted by name.
 func (f *Fleet) Polling(now time.Time) []*wire.HostReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +109,8 @@
 	return all
 }
 
-// Hosts returns the reports in order of names; silent hosts are marked.
+// Hosts returns the latest reports sorted by name, with the state of silent
+// hosts set to StateSilent. It removes hosts whose reports have expired.
 func (f *Fleet) Hosts(now time.Time) []*wire.HostReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/fleet/fleet_test.go
+++ b/control/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-func TestSeedsAreAFewOthersThatReportedLately(t *testing.T) {
+func TestSeedsAreAFewOthersThatReportedRecently(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	must.SliceEmpty(t, f.Seeds("e0", start))
@@ -43,7 +43,7 @@
 	must.SliceEmpty(t, f.Hosts(start.Add(fleet.ForgetAfter+1)))
 }
 
-func TestAHostThatLeftIsForgottenAndItsLastReportIsKnownAfterACrash(t *testing.T) {
+func TestAHostThatLeftIsForgottenAndItsLastReportIsReturnedAfterACrash(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	must.Nil(t, f.Report(&wire.HostReport{Name: "e1", State: "ready", Version: 7}, start))
@@ -53,7 +53,7 @@
 	must.SliceEmpty(t, f.Hosts(start.Add(time.Minute)))
 }
 
-func TestRatesAddUpOverHostsThatReportedLately(t *testing.T) {
+func TestRatesAddUpOverHostsThatReportedRecently(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	line := func(service, instance string, rate float64) *wire.ServiceBacklog {
--- a/control/fleet/rate.go
+++ b/control/fleet/rate.go
@@ -6,8 +6,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Rates returns the arrivals a second of each service, and the bytes of their
-// bodies, over all hosts that reported lately.
+// Rates returns the arrival rate and the body bytes per second of each service,
+// summed over all hosts that are not silent.
 func (f *Fleet) Rates(now time.Time) []*wire.ServiceRate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/fleet/seeds.go
+++ b/control/fleet/seeds.go
@@ -7,13 +7,14 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxSeeds is how many hosts an entry host is told of to join the others.
+// maxSeeds limits the seeds that an entry host gets for joining the gossip.
 const maxSeeds = 3
 
 // roleEntry is the role that entry hosts report.
 const roleEntry = "entry"
 
-// Seeds returns a few other entry hosts, at random, that reported lately.
+// Seeds returns a random sample of up to maxSeeds other entry hosts that are not
+// silent.
 func (f *Fleet) Seeds(except string, now time.Time) []*wire.GossipHost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/fleet/suspects.go
+++ b/control/fleet/suspects.go
@@ -7,23 +7,23 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxSuspects bounds the fingerprints that are passed on; a poison request is
-// noted again when it comes again.
+// maxSuspects limits the fingerprints that are kept. An evicted poison request
+// is reported again when it arrives again.
 const maxSuspects = 256
 
-// suspects are fingerprints of requests that were in flight when instances
-// were lost, as entry hosts reported them.
+// suspects holds the fingerprints that entry hosts reported of requests that
+// were in flight when connections to instances were lost.
 type suspects struct {
-	mu       sync.Mutex
-	all      []*wire.Suspect // in order of their last change
-	revisions  []uint64        // revision of the last change of each
-	revision uint64
-	notify     chan struct{} // closed with the next change
+	mu        sync.Mutex
+	all       []*wire.Suspect // ordered by last change
+	revisions []uint64        // revision of each suspect's last change
+	revision  uint64
+	notify    chan struct{} // closed at the next change
 }
 
 func newSuspects() suspects { return suspects{notify: make(chan struct{})} }
 
-// add merges what a host reported.
+// add merges the suspects that a host reported.
 func (s *suspects) add(reported []*wire.Suspect) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,17 +38,17 @@
 }
 
 func (s *suspects) merge(one *wire.Suspect) {
-	at := slices.IndexFunc(s.all, func(known *wire.Suspect) bool { return known.GetFingerprint() == one.GetFingerprint() })
+	at := slices.IndexFunc(s.all, func(old *wire.Suspect) bool { return old.GetFingerprint() == one.GetFingerprint() })
 	merged := &wire.Suspect{Fingerprint: one.GetFingerprint(), Instances: slices.Clone(one.GetInstances()), RefusedUntil: one.GetRefusedUntil()}
 	if at >= 0 {
-		known := s.all[at]
-		for _, id := range known.GetInstances() {
+		old := s.all[at]
+		for _, id := range old.GetInstances() {
 			if !slices.Contains(merged.Instances, id) {
 				merged.Instances = append(merged.Instances, id)
 			}
 		}
-		merged.RefusedUntil = max(merged.RefusedUntil, known.GetRefusedUntil())
-		if len(merged.Instances) == len(known.GetInstances()) && merged.RefusedUntil == known.GetRefusedUntil() {
+		merged.RefusedUntil = max(merged.RefusedUntil, old.GetRefusedUntil())
+		if len(merged.Instances) == len(old.GetInstances()) && merged.RefusedUntil == old.GetRefusedUntil() {
 			return
 		}
 		s.all, s.revisions = slices.Delete(s.all, at, at+1), slices.Delete(s.revisions, at, at+1)
@@ -60,8 +60,8 @@
 	}
 }
 
-// Suspects returns the fingerprints that changed after a revision of this
-// control host, and the newest revision.
+// Suspects returns the suspects that changed after the given revision, and the
+// latest revision. Revisions are local to this control host.
 func (f *Fleet) Suspects(after uint64) ([]*wire.Suspect, uint64) {
 	s := &f.suspects
 	s.mu.Lock()
@@ -70,7 +70,8 @@
 	return slices.Clone(s.all[first:]), s.revision
 }
 
-// SuspectsChanged returns a channel that is closed when a suspect changes.
+// SuspectsChanged returns a channel that is closed at the next change of a
+// suspect.
 func (f *Fleet) SuspectsChanged() <-chan struct{} {
 	f.suspects.mu.Lock()
 	defer f.suspects.mu.Unlock()
--- a/control/fleet/suspects_test.go
+++ b/control/fleet/suspects_test.go
@@ -9,17 +9,17 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-func TestSuspectsAreMergedAndToldOnce(t *testing.T) {
+func TestSuspectsAreMergedAndReportedOnce(t *testing.T) {
 	f := fleet.New()
-	told := f.SuspectsChanged()
+	changed := f.SuspectsChanged()
 	report := func(instances ...string) {
 		f.BeginPoll(&wire.HostReport{Name: "e", Suspects: []*wire.Suspect{{Fingerprint: 7, Instances: instances}}}, time.Now())
 	}
 	report("a")
 	select {
-	case <-told:
+	case <-changed:
 	default:
-		t.Fatal("nobody is woken")
+		t.Fatal("channel is not closed when a suspect is added")
 	}
 	first, revision := f.Suspects(0)
 	must.Len(t, 1, first)
@@ -27,7 +27,7 @@
 	_, same := f.Suspects(revision)
 	must.Eq(t, revision, same)
 	report("b")
-	news, _ := f.Suspects(revision)
-	must.Len(t, 1, news)
-	must.SliceContainsAll(t, []string{"a", "b"}, news[0].GetInstances())
+	delta, _ := f.Suspects(revision)
+	must.Len(t, 1, delta)
+	must.SliceContainsAll(t, []string{"a", "b"}, delta[0].GetInstances())
 }
--- a/control/host/doors.go
+++ b/control/host/handlers.go
@@ -8,7 +8,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// operatorRing holds the operators' keys, apart from those between hosts.
+// operatorRing holds the operators' keys. It is a type of its own so that fx
+// distinguishes it from the key ring for traffic between hosts.
 type operatorRing struct {
 	*key.Ring
 }
@@ -18,21 +19,24 @@
 	return operatorRing{Ring: ring}, err
 }
 
-// handleRules lets entry hosts watch, and operators do the rest.
+// handleRules registers the Rules service: Watch accepts the keys between
+// hosts, all other methods accept the operators' keys.
 func handleRules(mux *http.ServeMux, peers *key.Ring, operators operatorRing, server http.Handler) {
 	mux.Handle(wire.RulesPathPrefix, operators.Guard(server))
 	mux.Handle(wire.RulesPathPrefix+"Watch", peers.Guard(server))
 }
 
-// handleClaims lets entry hosts claim, and operators show and resolve.
+// handleClaims registers the Claims service: Show and Resolve accept the
+// operators' keys, all other methods accept the keys between hosts.
 func handleClaims(mux *http.ServeMux, peers *key.Ring, operators operatorRing, server http.Handler) {
 	mux.Handle(wire.ClaimsPathPrefix, peers.Guard(server))
 	mux.Handle(wire.ClaimsPathPrefix+"Show", operators.Guard(server))
 	mux.Handle(wire.ClaimsPathPrefix+"Resolve", operators.Guard(server))
 }
 
-// handleGroup lets operators alone change the control group. A control host
-// that passes a request on sends the operators' key.
+// handleGroup registers the Group service, which accepts the operators' keys
+// only. A control host that forwards a request authenticates with the
+// operators' key.
 func handleGroup(mux *http.ServeMux, operators operatorRing, server http.Handler) {
 	mux.Handle(wire.GroupPathPrefix, operators.Guard(server))
 }
--- a/control/host/health.go
+++ b/control/host/health.go
@@ -7,8 +7,8 @@
 	"github.com/snipebeam/snipebeam/control/prometheus"
 )
 
-// handleHealth answers whether this host lives, whether it has a quorum, and
-// scrapes of its metrics.
+// handleHealth registers the liveness probe, the readiness probe, which fails
+// without a quorum, and the metrics endpoint.
 func handleHealth(mux *http.ServeMux, log agreement.Log, exporter *prometheus.Exporter) {
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
--- a/control/host/host.go
+++ b/control/host/host.go
@@ -1,4 +1,4 @@
-// Package host composes a control host from its parts with fx.
+// Package host wires the components of a control host together with fx.
 //
 // Usage:
 //
@@ -29,10 +29,10 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// readHeaderTimeout bounds how long a client may take to send its headers.
+// readHeaderTimeout limits how long a client may take to send its headers.
 const readHeaderTimeout = 5 * time.Second
 
-// New returns the application of one control host.
+// New returns the fx application of one control host.
 func New(cfg *settings.Settings, logger hclog.Logger, opts ...Option) *fx.App {
 	var o options
 	for _, opt := range opts {
@@ -62,8 +62,8 @@
 	)
 }
 
-func newRules(cfg *settings.Settings, log agreement.Log, machine *state.Machine, hosts *fleet.Fleet, names *directory.Directory) *operator.Rules {
-	return operator.New(cfg.Host.Name, log, machine, hosts).WithZone(cfg.Host.Zone).WithDirectory(names)
+func newRules(cfg *settings.Settings, log agreement.Log, machine *state.Machine, hosts *fleet.Fleet, dir *directory.Directory) *operator.Rules {
+	return operator.New(cfg.Host.Name, log, machine, hosts).WithZone(cfg.Host.Zone).WithDirectory(dir)
 }
 
 func newRing(cfg *settings.Settings) (*key.Ring, error) { return key.Load(cfg.Keys.Peers) }
--- a/control/host/listener.go
+++ b/control/host/listener.go
@@ -18,8 +18,8 @@
 	"go.uber.org/fx"
 )
 
-// Services are what a control host does for callers, instances and operators,
-// for listeners that speak another protocol than its own.
+// Services are the services that a control host offers to callers, instances
+// and operators. Listeners for other protocols are built on them.
 type Services struct {
 	fx.In
 
@@ -29,14 +29,14 @@
 	Logger    hclog.Logger
 }
 
-// Listener is a further listener of a control host.
+// Listener is an additional listener of a control host.
 type Listener struct {
 	Name    string
 	Address string
 	Handler http.Handler
 }
 
-// Option changes how a control host is composed.
+// Option configures a control host.
 type Option func(*options)
 
 type options struct {
@@ -44,12 +44,13 @@
 	reload    func() *settings.Settings
 }
 
-// WithListeners adds listeners that speak another protocol.
+// WithListeners adds listeners for other protocols.
 func WithListeners(listeners func(s Services) []Listener) Option {
 	return func(o *options) { o.listeners = listeners }
 }
 
-// WithReload sets how the settings are read again when their file changes.
+// WithReload sets the function that reloads the settings when their file
+// changes. It returns nil if there is nothing to apply.
 func WithReload(reload func() *settings.Settings) Option {
 	return func(o *options) { o.reload = reload }
 }
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -16,9 +16,10 @@
 	"go.uber.org/fx"
 )
 
-// replica is what the data folder held at the start.
+// replica is the store of the data folder, and the state that the folder
+// contained at startup.
 type replica struct {
-	store *disk.Store
+	store     *disk.Store
 	persisted quorum.PersistentState
 }
 
@@ -62,8 +63,8 @@
 
 func newLog(node *peer.Node) agreement.Log { return node }
 
-// runNode starts the node after the server, and hands its leadership over
-// before the server stops.
+// runNode starts the node after the server has started, and transfers
+// leadership and stops the node before the server stops.
 func runNode(lc fx.Lifecycle, _ *http.Server, r *replica, node *peer.Node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/control/host/reload.go
+++ b/control/host/reload.go
@@ -9,8 +9,8 @@
 	"go.uber.org/fx"
 )
 
-// runReload takes the seeds of changed settings; what else changed takes
-// effect with the next start.
+// runReload applies the seeds of changed settings. All other changes take
+// effect at the next start.
 func runReload(lc fx.Lifecycle, cfg *settings.Settings, o options, current *seeds, logger hclog.Logger) {
 	if o.reload == nil {
 		return
--- a/control/host/seeds.go
+++ b/control/host/seeds.go
@@ -9,8 +9,8 @@
 	"github.com/snipebeam/snipebeam/control/settings"
 )
 
-// seeds are the peers addresses of the control hosts that the settings name
-// now. All control hosts have their peers listener at the same port.
+// seeds holds the peer addresses of the control hosts in the current settings.
+// The peers listeners of all control hosts use the same port.
 type seeds struct{ addresses atomic.Pointer[[]string] }
 
 func newSeeds(cfg *settings.Settings) *seeds {
@@ -39,9 +39,9 @@
 	return slices.Compact(all)
 }
 
-// seedHosts returns the first membership: the seeds, of which the first one in
-// order forms the group. Where the system did not start for the first time
-// there is none, and a replica outside the group asks to be taken in.
+// seedHosts returns the initial membership: the seeds, of which the first in
+// sort order bootstraps the group. Without the bootstrap setting there is no
+// initial membership, and a replica that is not a member requests to join.
 func seedHosts(cfg *settings.Settings) []peer.Host {
 	if !cfg.Quorum.Bootstrap {
 		return nil
--- a/control/main.go
+++ b/control/main.go
@@ -1,6 +1,6 @@
 // Command snipebeam-control runs one control host: a replica of the accepted
-// rules and of the claims on requests that run at most once. Other commands
-// look at a data folder and save or restore it.
+// rules and of the claims on requests that run at most once. Its subcommands
+// inspect, back up and restore a data folder.
 package main
 
 import (
@@ -36,7 +36,7 @@
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// Run runs the host until it is stopped.
+// Run runs the control host until the process is asked to stop.
 func (c *runCommand) Run() error {
 	cfg, findings := settings.Load(c.Path(source), program.Overrides(source, settings.Default(), c.Settings)...)
 	if settled, code := c.Settled(os.Stdout, os.Stderr, cfg, findings); settled {
--- a/control/operator/confirm.go
+++ b/control/operator/confirm.go
@@ -8,9 +8,10 @@
 	"github.com/snipebeam/snipebeam/control/agreement"
 )
 
-// confirmer asks the quorum once for all who wait: thousands of hosts may poll
-// at the same time. Whoever asks while a question is out waits for the next
-// one, since only a question that is asked later speaks for them.
+// confirmer coalesces concurrent confirmations by the quorum, because thousands
+// of hosts may poll at the same time. A call that arrives while a confirmation
+// is in progress waits for the next one: a confirmation covers only calls that
+// arrived before it started.
 type confirmer struct {
 	log agreement.Log
 
@@ -19,22 +20,22 @@
 	next    *confirmation
 }
 
-// confirmation is one confirmation that several wait for.
+// confirmation is one confirmation that several callers wait for.
 type confirmation struct {
 	startedAt time.Time
-	err     error
-	done    chan struct{}
+	err       error
+	done      chan struct{}
 }
 
 func newConfirmer(log agreement.Log) *confirmer { return &confirmer{log: log} }
 
-// confirm returns how long ago a confirmation was asked for, which is after
-// the call.
+// confirm waits for a confirmation that starts after the call, and returns the
+// time since its start.
 func (c *confirmer) confirm(ctx context.Context) (age time.Duration, err error) {
-	q := c.join()
+	joined := c.join()
 	select {
-	case <-q.done:
-		return time.Since(q.startedAt), q.err
+	case <-joined.done:
+		return time.Since(joined.startedAt), joined.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -53,26 +54,26 @@
 	return c.next
 }
 
-// run asks until nobody waits.
+// run confirms until no caller waits.
 func (c *confirmer) run() {
 	for {
-		q := c.take()
-		if q == nil {
+		current := c.take()
+		if current == nil {
 			return
 		}
-		q.startedAt = time.Now()
+		current.startedAt = time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
-		q.err = c.log.Confirm(ctx)
+		current.err = c.log.Confirm(ctx)
 		cancel()
-		close(q.done)
+		close(current.done)
 	}
 }
 
 func (c *confirmer) take() *confirmation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := c.next
+	current := c.next
 	c.next = nil
-	c.running = q != nil
-	return q
+	c.running = current != nil
+	return current
 }
--- a/control/operator/instances_test.go
+++ b/control/operator/instances_test.go
@@ -14,30 +14,30 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// cutLog is a log whose host may be cut off from the group.
-type cutLog struct{ *quorumLog }
+// partitionedLog is a log whose host can lose its quorum.
+type partitionedLog struct{ *quorumLog }
 
-func (l *cutLog) Status() agreement.Status {
+func (l *partitionedLog) Status() agreement.Status {
 	return agreement.NewStatus("", "", 1, 1, !l.lost.Load(), nil)
 }
 
-func newCutRules(t *testing.T) (*operator.Rules, *cutLog) {
-	log := &cutLog{quorumLog: &quorumLog{machine: state.New()}}
+func newPartitionedRules(t *testing.T) (*operator.Rules, *partitionedLog) {
+	log := &partitionedLog{quorumLog: &quorumLog{machine: state.New()}}
 	rules := operator.New("control-1", log, log.machine, fleet.New())
 	submit(t, rules, 1)
 	return rules, log
 }
 
-func announced(m *state.Machine, id string, sequence uint64, draining bool) {
+func announce(m *state.Machine, id string, sequence uint64, draining bool) {
 	m.Apply(&wire.Command{Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: &wire.Instance{
 		Id: id, Service: "shop", Address: "10.0.0.1:" + id, Slots: 3, Incarnation: 1, Sequence: sequence, Draining: draining,
 	}}}})
 }
 
-func TestWatchEndsAtOnceWhenTheQuorumIsLost(t *testing.T) {
+func TestWatchEndsEarlyWhenTheQuorumIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rules, log := newCutRules(t)
-		for range 2 { // a second question to the quorum would wait for the first
+		rules, log := newPartitionedRules(t)
+		for range 2 { // a second confirmation would wait for the first
 			go func() { _, _ = rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, WaitMs: 1000}) }()
 		}
 		go func() {
@@ -49,19 +49,19 @@
 		must.NoError(t, err)
 		must.True(t, got.GetStale())
 		must.LessEq(t, 1300*time.Millisecond, time.Since(start))
-		time.Sleep(5 * time.Second) // the other polls end
+		time.Sleep(5 * time.Second) // until the other polls end
 	})
 }
 
-func TestWatchTellsGatheredChangesOfInstances(t *testing.T) {
+func TestWatchReturnsBatchedChangesOfInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rules, log := newCutRules(t)
+		rules, log := newPartitionedRules(t)
 		go func() {
 			time.Sleep(time.Second)
 			for n := range 5 {
-				announced(log.machine, fmt.Sprint(80+n), 1, false)
+				announce(log.machine, fmt.Sprint(80+n), 1, false)
 			}
-			announced(log.machine, "80", 2, true)
+			announce(log.machine, "80", 2, true)
 		}()
 		start := time.Now()
 		got, err := rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, WaitMs: 3000, Instances: true})
@@ -69,7 +69,7 @@
 		must.Len(t, 5, got.GetInstances())
 		must.Eq(t, 6, got.GetInstancesRevision())
 		must.Less(t, 1500*time.Millisecond, time.Since(start))
-		// A poll that does not ask for instances is not woken.
+		// A poll that does not request instances is not woken by their changes.
 		start = time.Now()
 		got, err = rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, WaitMs: 3000})
 		must.NoError(t, err)
--- a/control/operator/rules.go
+++ b/control/operator/rules.go
@@ -22,25 +22,25 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Bounds of one call.
+// Limits of one call.
 const (
-	maxHistory   = 10_000
+	maxHistory     = 10_000
 	confirmTimeout = time.Second
-	maxTextBytes = rule.MaxFileBytes
+	maxTextBytes   = rule.MaxFileBytes
 )
 
-// Rules implements the Twirp service.
+// Rules implements the Twirp service Rules.
 type Rules struct {
-	name    string
-	zone    string
-	directory   Directory // nil: watchers are not told of names
-	log     agreement.Log
-	machine *state.Machine
-	fleet   *fleet.Fleet
-	deltas deltaCache
-	fullTexts   deltaCache // from an empty text
-	confirmer  *confirmer
-	lastValid atomic.Pointer[rule.Set] // the last submission without errors
+	name      string
+	zone      string
+	directory Directory // if nil, responses to watches have no number of active hosts
+	log       agreement.Log
+	machine   *state.Machine
+	fleet     *fleet.Fleet
+	deltas    deltaCache
+	fullTexts deltaCache // deltas from the empty text
+	confirmer *confirmer
+	lastValid atomic.Pointer[rule.Set] // the last submission without errors, the base for parsing the next
 }
 
 // New returns the service of one control host.
@@ -48,19 +48,21 @@
 	return &Rules{name: name, log: log, machine: machine, fleet: hosts, confirmer: newConfirmer(log)}
 }
 
-// Directory tells how entry hosts divide what callers of names ask for.
+// Directory reports how requests are distributed over entry hosts.
 type Directory interface {
-	// ActiveHosts returns the largest number of entry hosts that serve one name.
+	// ActiveHosts returns the largest number of entry hosts that serve one host
+	// name.
 	ActiveHosts() int
 }
 
-// WithDirectory sets how watchers are told what part they have.
-func (s *Rules) WithDirectory(names Directory) *Rules {
-	s.directory = names
+// WithDirectory sets the source of the number of active hosts in responses to
+// watches.
+func (s *Rules) WithDirectory(d Directory) *Rules {
+	s.directory = d
 	return s
 }
 
-// WithZone sets the availability zone that watchers are told.
+// WithZone sets this host's availability zone for responses to watches.
 func (s *Rules) WithZone(zone string) *Rules {
 	s.zone = zone
 	return s
@@ -87,8 +89,8 @@
 	return result.GetSubmit(), nil
 }
 
-// MetaTaken is the key under which an error says whether the command may still
-// be carried out: TakenNo or TakenUnknown.
+// MetaTaken is the metadata key of an error that states whether the command may
+// still be executed: TakenNo or TakenUnknown.
 const MetaTaken = "taken"
 
 // Values of MetaTaken.
@@ -97,7 +99,7 @@
 	TakenUnknown = "unknown"
 )
 
-// ProposeError turns an error of the log into one of Twirp.
+// ProposeError converts an error of the log to a Twirp error.
 func ProposeError(err error) error {
 	taken := TakenUnknown
 	if errors.Is(err, agreement.ErrNotLeader) || errors.Is(err, agreement.ErrNoQuorum) {
@@ -106,7 +108,7 @@
 	return twirp.WrapError(twirp.NewError(twirp.Unavailable, err.Error()).WithMeta(MetaTaken, taken), err)
 }
 
-// Read returns one version.
+// Read returns one version of the rules, by default the one in force.
 func (s *Rules) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadResponse, error) {
 	stale := s.confirm(ctx) != nil
 	version, text := s.machine.InForce()
@@ -118,7 +120,8 @@
 	}, nil
 }
 
-// document is told with the version in force alone.
+// document returns the document of the version in force, or nil if the request
+// is for a version by number.
 func (s *Rules) document(req *wire.ReadRequest) []byte {
 	if req.GetNumber() > 0 {
 		return nil
@@ -132,14 +135,14 @@
 	return s.log.Confirm(ctx)
 }
 
-// asOf returns now for a current answer, and for a stale one the time at which
-// a quorum was last heard; zero if that was never.
+// asOf returns the current time for a confirmed response. For a stale one it
+// returns when this host last had a quorum, or zero if it never had one.
 func (s *Rules) asOf(stale bool) int64 {
 	if !stale {
 		return time.Now().UnixNano()
 	}
-	if heard := s.log.Status().AsOf(); !heard.IsZero() {
-		return heard.UnixNano()
+	if lastQuorum := s.log.Status().AsOf(); !lastQuorum.IsZero() {
+		return lastQuorum.UnixNano()
 	}
 	return 0
 }
@@ -159,10 +162,10 @@
 	current := s.confirm(ctx) == nil
 	status := s.log.Status()
 	version, _ := s.machine.InForce()
-	held, unknown := s.machine.CountClaims()
+	outstanding, unknown := s.machine.CountClaims()
 	return &wire.StatusResponse{
 		ServedBy: s.name, AsOf: s.asOf(!current), Quorum: current, Leader: status.Leader(),
 		Term: status.Term(), Members: status.Members(), Hosts: s.fleet.Hosts(time.Now()), Version: version,
-		ClaimsOutstanding: uint64(held), ClaimsUnknown: uint64(unknown), CommitIndex: status.CommitIndex(),
+		ClaimsOutstanding: uint64(outstanding), ClaimsUnknown: uint64(unknown), CommitIndex: status.CommitIndex(),
 	}, nil
 }
--- a/control/operator/watch.go
+++ b/control/operator/watch.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// maxWatchWait bounds a long poll.
+	// maxWatchWait limits the duration of a long poll.
 	maxWatchWait = 10 * time.Second
-	// batchDelay is how long changes of instances are gathered before a poll is
-	// answered with them; drains must be known within seconds.
+	// batchDelay is how long a poll collects changes of instances before it
+	// returns them. It is short because drains must take effect within seconds.
 	batchDelay = 150 * time.Millisecond
-	// quorumCheckInterval is how often a poll for instances is given up when this
-	// host has lost the quorum: another one tells of them then.
+	// quorumCheckInterval is how often a poll for instances checks that this host
+	// still has a quorum. Without one the poll ends, so that the entry host gets
+	// the changes from another control host.
 	quorumCheckInterval = 250 * time.Millisecond
 )
 
-// Watch records the host's report and waits for a version or records of
-// instances newer than the known ones. A newer version is told at once, without a question to the
-// quorum: what this host applied was committed, so it is or was in force. An
-// answer is stale when no quorum said that nothing newer is.
+// Watch records the host's report and waits for a version or instance records
+// newer than those of the request. A newer version is returned immediately,
+// without confirmation by the quorum: a version that this host applied was
+// committed, so it is or was in force. A response is stale unless a quorum
+// confirmed that there is no newer version.
 func (s *Rules) Watch(ctx context.Context, req *wire.WatchRequest) (*wire.WatchResponse, error) {
-	previous, leave := s.fleet.BeginPoll(req.GetReport(), time.Now())
-	defer leave()
+	previous, end := s.fleet.BeginPoll(req.GetReport(), time.Now())
+	defer end()
 	newer := s.await(ctx, req)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
@@ -51,9 +53,10 @@
 	return response, nil
 }
 
-// shouldConfirm reports whether the quorum is asked before the answer: not if a
-// newer version is told at once, and not by a host that lost its quorum when
-// the watcher has another one to turn to.
+// shouldConfirm reports whether the response needs confirmation by the quorum.
+// It does not if it carries a newer version, or if this host has no quorum and
+// the watcher polls for instances, because such a watcher fails over to another
+// control host.
 func (s *Rules) shouldConfirm(req *wire.WatchRequest, newer bool) bool {
 	if req.GetKnownVersion() == 0 {
 		return true
@@ -61,8 +64,8 @@
 	return !newer && (!req.GetInstances() || s.log.Status().Quorum())
 }
 
-// addMembership adds the records of instances to hosts that learn them from
-// control hosts, and other hosts to join to those that learn them by gossip.
+// addMembership adds instance records for hosts that get them from control
+// hosts, and gossip seeds for hosts that get them by gossip.
 func (s *Rules) addMembership(req *wire.WatchRequest, response *wire.WatchResponse) {
 	for _, m := range s.log.Status().Members() {
 		response.ControlHosts = append(response.ControlHosts, m.GetAddress())
@@ -78,8 +81,8 @@
 	response.Suspects, response.SuspectsRevision = s.fleet.Suspects(req.GetKnownSuspects())
 }
 
-// await reports whether a newer version came in force within the wait, which
-// ends early with other news too.
+// await waits for a newer version and reports whether there is one. The wait
+// ends early on changes of instances or suspects too.
 func (s *Rules) await(ctx context.Context, req *wire.WatchRequest) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,7 +91,7 @@
 	defer timer.Stop()
 	lost := s.quorumLost(ctx, req)
 	for {
-		changed, told := s.machine.Changed(), s.fleet.SuspectsChanged()
+		applied, suspects := s.machine.Changed(), s.fleet.SuspectsChanged()
 		if s.hasNewerVersion(req) {
 			return true
 		}
@@ -97,8 +100,8 @@
 			return s.hasNewerVersion(req)
 		}
 		select {
-		case <-changed:
-		case <-told:
+		case <-applied:
+		case <-suspects:
 		case <-lost:
 			return false
 		case <-timer.C:
@@ -109,8 +112,9 @@
 	}
 }
 
-// quorumLost returns a channel that is closed when this host has no quorum any
-// more, for a poll that relies on it for instances, else nil.
+// quorumLost returns a channel that is closed when this host loses its quorum.
+// It returns nil for a poll without instances, and if there is no quorum at the
+// start.
 func (s *Rules) quorumLost(ctx context.Context, req *wire.WatchRequest) <-chan struct{} {
 	if !req.GetInstances() || !s.log.Status().Quorum() {
 		return nil
@@ -132,7 +136,8 @@
 	return version.GetNumber() > req.GetKnownVersion()
 }
 
-// hasChanges reports whether there is something to tell beside a version.
+// hasChanges reports whether there are newer instance records or suspects than
+// the request has.
 func (s *Rules) hasChanges(req *wire.WatchRequest) bool {
 	if !req.GetInstances() {
 		return false
@@ -141,20 +146,20 @@
 	return s.machine.InstancesRevision() > req.GetKnownInstances() || suspects > req.GetKnownSuspects()
 }
 
-// confirmWatch asks before the version is read, so that the version is at
-// least as new as any that was accepted before the question.
+// confirmWatch must run before the version is read, so that the version is at
+// least as new as any that was accepted before the confirmation started.
 func (s *Rules) confirmWatch(ctx context.Context, response *wire.WatchResponse) {
 	age, err := s.confirmer.confirm(ctx)
 	response.Stale = err != nil
 	response.ConfirmAgeNs = int64(age)
 }
 
-// addText adds the difference to the known version, or the whole text if that
-// is smaller or asked for.
+// addText adds a delta from the version that the host has, or the full text if
+// that is smaller or requested.
 func (s *Rules) addText(req *wire.WatchRequest, response *wire.WatchResponse, text string) {
 	if !req.GetWhole() && req.GetKnownVersion() > 0 {
-		_, known := s.machine.Version(req.GetKnownVersion())
-		if data := s.deltas.get(req.GetKnownVersion(), response.GetVersion().GetNumber(), known, text); len(data) > 0 && len(data) < len(text) {
+		_, base := s.machine.Version(req.GetKnownVersion())
+		if data := s.deltas.get(req.GetKnownVersion(), response.GetVersion().GetNumber(), base, text); len(data) > 0 && len(data) < len(text) {
 			response.Delta = data
 			return
 		}
@@ -166,10 +171,11 @@
 	response.Text = text
 }
 
-// minCompressBytes is the size from which a whole text is told compressed.
+// minCompressBytes is the size from which a full text is sent compressed.
 const minCompressBytes = 1 << 10
 
-// compressed returns the difference from an empty text, nil for a short text.
+// compressed returns the full text as a delta from the empty text, or nil for a
+// short text.
 func (s *Rules) compressed(number uint64, text string) []byte {
 	if len(text) < minCompressBytes {
 		return nil
@@ -177,7 +183,8 @@
 	return s.fullTexts.get(0, number, "", text)
 }
 
-// deltaCache keeps the last difference: most hosts know the version before.
+// deltaCache keeps only the latest delta, because most hosts have the previous
+// version.
 type deltaCache struct {
 	mu       sync.Mutex
 	from, to uint64
@@ -191,7 +198,7 @@
 		return w.data
 	}
 	if older == "" && from > 0 {
-		return nil // no longer kept
+		return nil // the older version is no longer stored
 	}
 	data, err := delta.Make(older, newer)
 	if err != nil {
--- a/control/operator/watch_test.go
+++ b/control/operator/watch_test.go
@@ -18,7 +18,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// quorumLog applies at once and takes time to confirm.
+// quorumLog applies commands synchronously and takes confirmTime to confirm.
 type quorumLog struct {
 	machine  *state.Machine
 	lost     atomic.Bool
@@ -86,18 +86,18 @@
 		must.Eq(t, "", got.GetText())
 		got, err = rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, Whole: true})
 		must.NoError(t, err)
-		must.Eq(t, text(2), wholeText(t, got))
+		must.Eq(t, text(2), fullText(t, got))
 	})
 }
 
-func TestFirstAnswerIsConfirmedAndAnIdleOneToo(t *testing.T) {
+func TestFirstResponseIsConfirmedAndAnIdleOneToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rules, log := newRules()
 		submit(t, rules, 1)
 		got, err := rules.Watch(t.Context(), &wire.WatchRequest{WaitMs: 3000})
 		must.NoError(t, err)
 		must.False(t, got.GetStale())
-		must.Eq(t, text(1), wholeText(t, got))
+		must.Eq(t, text(1), fullText(t, got))
 		log.lost.Store(true)
 		got, err = rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, WaitMs: 3000})
 		must.NoError(t, err)
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestManyPollsAskTheQuorumOnce(t *testing.T) {
+func TestManyPollsShareAConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rules, log := newRules()
 		submit(t, rules, 1)
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestConfirmationAskedForBeforeACallDoesNotCount(t *testing.T) {
+func TestConfirmationStartedBeforeACallDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rules, log := newRules()
 		submit(t, rules, 1)
@@ -146,8 +146,8 @@
 	})
 }
 
-// wholeText returns the text of an answer that tells it whole.
-func wholeText(t *testing.T, got *wire.WatchResponse) string {
+// fullText returns the text of a response that contains the full text.
+func fullText(t *testing.T, got *wire.WatchResponse) string {
 	t.Helper()
 	must.True(t, got.GetWhole())
 	all, err := delta.Apply("", got.GetDelta())
--- a/control/upstream/upstream.go
+++ b/control/upstream/upstream.go
@@ -1,17 +1,18 @@
-// Package upstream hears instances that announce themselves to control hosts.
-// What changes a record goes through the replicated log before it is
-// acknowledged: whoever is told that an instance drains can rely on every
-// entry host that reaches the control group. A renewal changes nothing and is
-// acknowledged by any control host that hears the group's quorum.
+// Package upstream accepts the announcements of instances on control hosts. An
+// announcement that changes a record is committed to the replicated log before
+// it is acknowledged. So an acknowledged drain reaches every entry host that
+// reaches the control group. A renewal changes no record and is acknowledged by
+// any control host that has a quorum.
 //
-// The host that heard an instance last holds its lease. It reports silence to
-// the group; of a host that is not reached any more, the leader does.
+// The control host that last received an announcement of an instance holds its
+// lease, and reports to the group when the lease expires. For leases of control
+// hosts that the leader cannot reach, the leader reports instead.
 //
 // Usage:
 //
-//	instances := upstream.New("control-1", log, machine)
+//	instances := upstream.New("control-1", log, machine, logger)
 //	go instances.Run(ctx)
-//	err := instances.Hear(ctx, message)
+//	err := instances.Announce(ctx, message)
 package upstream
 
 import (
@@ -27,21 +28,22 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Times of leases.
+// Lease times.
 const (
 	// DefaultLease is the time without an announcement after which an instance
-	// is silent: three intervals of 1.5 s and half a second on the way.
+	// is silent: three intervals of 1.5 s, and 0.5 s for network latency.
 	DefaultLease = 5 * time.Second
-	// leaseCheckInterval is how often leases are looked at.
+	// leaseCheckInterval is how often leases are checked for expiry.
 	leaseCheckInterval = 500 * time.Millisecond
-	// reportTimeout bounds the report of one silent instance.
+	// reportTimeout limits the report of one silent instance to the group.
 	reportTimeout = time.Second
 )
 
-// ErrNoQuorum means that this host is cut off from the control group.
+// ErrNoQuorum means that this host has no quorum of the control group.
 var ErrNoQuorum = agreement.ErrNoQuorum
 
-// Instances takes the announcements that one control host hears.
+// Instances accepts the announcements that one control host receives, and tracks
+// their leases.
 type Instances struct {
 	name    string
 	log     agreement.Log
@@ -49,18 +51,18 @@
 	lease   time.Duration
 	logger  hclog.Logger
 
-	mu    sync.Mutex
-	renewed map[string]time.Time // by the instance's id
+	mu      sync.Mutex
+	renewed map[string]time.Time // time of the last renewal, by instance id
 }
 
-// Option changes one property.
+// Option configures Instances.
 type Option func(*Instances)
 
 // WithLease sets the time without an announcement after which an instance is
 // silent.
 func WithLease(d time.Duration) Option { return func(i *Instances) { i.lease = d } }
 
-// New returns the instances of one control host.
+// New returns the Instances of one control host.
 func New(name string, log agreement.Log, machine *state.Machine, logger hclog.Logger, opts ...Option) *Instances {
 	i := &Instances{
 		name: name, log: log, machine: machine, lease: DefaultLease, logger: logger.Named("upstream"),
@@ -72,8 +74,8 @@
 	return i
 }
 
-// Announce takes an announcement. It returns once what the announcement changes is
-// committed; an error says that this is not certain.
+// Announce accepts an announcement. It returns nil once the changes of the
+// announcement are committed. After an error they may or may not be committed.
 func (i *Instances) Announce(ctx context.Context, m *wire.Instance) error {
 	m.HeardBy = i.name
 	if !state.ChangesRecord(i.machine.Instance(m.GetId()), m) {
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// Withdraw takes an instance's word that it leaves.
+// Withdraw accepts an instance's announcement that it leaves.
 func (i *Instances) Withdraw(ctx context.Context, m *wire.Instance) error {
 	m.HeardBy, m.Gone, m.Left, m.Draining = i.name, true, true, true
 	result, err := i.propose(ctx, m)
@@ -116,7 +118,7 @@
 func (i *Instances) propose(ctx context.Context, m *wire.Instance) (*wire.AnnouncementResult, error) {
 	cmd := &wire.Command{At: time.Now().UnixNano(), Body: &wire.Command_Announce{Announce: &wire.Announcement{Instance: m}}}
 	result, err := i.log.Propose(ctx, cmd)
-	return result.GetAnnounce(), errors.Wrap(err, "commit an announcement")
+	return result.GetAnnounce(), errors.Wrap(err, "commit announcement")
 }
 
 func (i *Instances) renew(id string) {
@@ -125,7 +127,7 @@
 	i.renewed[id] = time.Now()
 }
 
-// Run reports instances whose lease has ended, until the context ends.
+// Run reports instances whose lease has expired, until the context is done.
 func (i *Instances) Run(ctx context.Context) {
 	for pause.For(ctx, leaseCheckInterval) {
 		if !i.log.Status().Quorum() {
@@ -137,48 +139,48 @@
 	}
 }
 
-// expired returns the instances whose lease has ended, as far as this host is
-// the one to say so.
+// expired returns the instances with an expired lease that this host is
+// responsible for.
 func (i *Instances) expired(now time.Time) []*wire.Instance {
 	all, _ := i.machine.Instances(0)
-	reached := i.reachableHosts()
+	reachable := i.reachableHosts()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	var ended []*wire.Instance
+	var expired []*wire.Instance
 	for _, m := range all {
 		if m.GetSilent() || m.GetGone() {
 			continue
 		}
-		mine := m.GetHeardBy() == i.name
-		if !mine && (reached == nil || reached[m.GetHeardBy()]) {
+		holder := m.GetHeardBy() == i.name
+		if !holder && (reachable == nil || reachable[m.GetHeardBy()]) {
 			delete(i.renewed, m.GetId())
 			continue
 		}
-		since, known := i.renewed[m.GetId()]
-		if !known {
-			// The lease begins anew where nothing is known of it.
+		since, ok := i.renewed[m.GetId()]
+		if !ok {
+			// Without a recorded renewal on this host, the lease starts now.
 			since = now
 			i.renewed[m.GetId()] = now
 		}
 		if now.Sub(since) > i.lease {
-			ended = append(ended, m)
+			expired = append(expired, m)
 		}
 	}
-	return ended
+	return expired
 }
 
-// reachableHosts returns the control hosts that the leader reaches, or nil if this
-// host does not lead.
+// reachableHosts returns the control hosts that the leader reaches, or nil if
+// this host is not the leader.
 func (i *Instances) reachableHosts() map[string]bool {
 	status := i.log.Status()
 	if status.Leader() != i.name {
 		return nil
 	}
-	reached := map[string]bool{}
+	reachable := map[string]bool{}
 	for _, m := range status.Members() {
-		reached[m.GetName()] = reached[m.GetName()] || m.GetReachable()
+		reachable[m.GetName()] = reachable[m.GetName()] || m.GetReachable()
 	}
-	return reached
+	return reachable
 }
 
 func (i *Instances) reportSilent(ctx context.Context, m *wire.Instance) {
@@ -187,7 +189,7 @@
 	silent := &wire.Instance{Id: m.GetId(), Incarnation: m.GetIncarnation(), HeardBy: m.GetHeardBy(), Silent: true}
 	result, err := i.propose(ctx, silent)
 	if err != nil || !result.GetChanged() {
-		return // it is looked at again
+		return // retried at the next check
 	}
 	i.logger.Warn("instance silent", "instance", m.GetId(), "service", m.GetService(), "heardBy", m.GetHeardBy(), "lease", i.lease.String())
 }
