--- a/control/host/host.go
+++ b/control/host/host.go
@@ -1,4 +1,4 @@
-// Package host composes a control host from its parts with fx.
+// Package host wires the components of a control host together with fx.
 //
 // Usage:
 //
@@ -29,10 +29,10 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// readHeaderLimit bounds how long a client may take to send its headers.
-const readHeaderLimit = 5 * time.Second
+// readHeaderTimeout limits how long a client may take to send its headers.
+const readHeaderTimeout = 5 * time.Second
 
-// New returns the application of one control host.
+// New returns the fx application of one control host.
 func New(cfg *settings.Settings, logger hclog.Logger, opts ...Option) *fx.App {
 	var o options
 	for _, opt := range opts {
@@ -62,8 +62,8 @@
 	)
 }
 
-func newRules(cfg *settings.Settings, log agreement.Log, machine *state.Machine, hosts *fleet.Fleet, names *directory.Directory) *operator.Rules {
-	return operator.New(cfg.Host.Name, log, machine, hosts).WithZone(cfg.Host.Zone).WithDirectory(names)
+func newRules(cfg *settings.Settings, log agreement.Log, machine *state.Machine, hosts *fleet.Fleet, dir *directory.Directory) *operator.Rules {
+	return operator.New(cfg.Host.Name, log, machine, hosts).WithZone(cfg.Host.Zone).WithDirectory(dir)
 }
 
 func newRing(cfg *settings.Settings) (*key.Ring, error) { return key.Load(cfg.Keys.Peers) }
@@ -75,7 +75,7 @@
 	mux.Handle(wire.QuorumPathPrefix, ring.Guard(wire.NewQuorumServer(node.Service())))
 	handleGroup(mux, operators, wire.NewGroupServer(node.Group()))
 	handleHealth(mux, node, exporter)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderLimit}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			listener, err := net.Listen("tcp", cfg.Listen.Peers)
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -16,10 +16,11 @@
 	"go.uber.org/fx"
 )
 
-// replica is what the data folder held at the start.
+// replica is the store of the data folder, and the state that the folder
+// contained at startup.
 type replica struct {
-	store *disk.Store
-	saved quorum.PersistentState
+	store     *disk.Store
+	persisted quorum.PersistentState
 }
 
 func newReplica(cfg *settings.Settings) (*replica, error) {
@@ -31,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &replica{store: store, saved: saved}, nil
+	return &replica{store: store, persisted: saved}, nil
 }
 
 func newNode(cfg *settings.Settings, logger hclog.Logger, ring *key.Ring, operators operatorRing, r *replica, current *seeds, machine *state.Machine) (*peer.Node, error) {
@@ -43,7 +44,7 @@
 		Client:         func(t http.RoundTripper) *http.Client { return ring.Client(&http.Client{Transport: t}) },
 		OperatorClient: func(t http.RoundTripper) *http.Client { return operators.Client(&http.Client{Transport: t}) },
 		Logger:         logger,
-	}, r.store, r.saved, machine)
+	}, r.store, r.persisted, machine)
 }
 
 func initialHosts(cfg *settings.Settings) []peer.Host {
@@ -62,8 +63,8 @@
 
 func newLog(node *peer.Node) agreement.Log { return node }
 
-// runNode starts the node after the server, and hands its leadership over
-// before the server stops.
+// runNode starts the node after the server has started, and transfers
+// leadership and stops the node before the server stops.
 func runNode(lc fx.Lifecycle, _ *http.Server, r *replica, node *peer.Node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
