--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -76,7 +76,7 @@
 	if n := demand.hosts(services); n <= placement.Zones(entries) {
 		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(n, d.minHosts)}).Hosts(), true
 	}
-	return placement.Near(entries, zone, d.pool(host, demand, entries)), true
+	return placement.ChooseFromPool(entries, zone, d.pool(host, demand, entries)), true
 }
 
 // pool returns the pool of entry hosts that callers of a host name share with
@@ -86,11 +86,11 @@
 	all, bulk := d.set.Services(), d.set.Bulk(strings.ToLower(host))
 	d.mu.Unlock()
 	small, large := demand.pools(all)
-	pool := placement.Pool{N: small, Most: maxHosts, Bulk: bulk}
+	pool := placement.Pool{Size: small, MaxHosts: maxHosts, Bulk: bulk}
 	if bulk {
 		// Large bodies get all hosts that small ones do not need, because no
 		// other requests wait there. Each zone rounds up its share.
-		pool.N = max(large, len(entries)-small-placement.Zones(entries)+1)
+		pool.Size = max(large, len(entries)-small-placement.Zones(entries)+1)
 	}
 	return pool
 }
@@ -126,12 +126,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.set == nil || version.GetNumber() > d.version {
-		d.set, _ = rule.ReadChange(d.set, "rules", text)
+		d.set, _ = rule.ReadIncremental(d.set, "rules", text)
 		d.version, d.groups = version.GetNumber(), map[string][]string{}
 	}
 	services, ok := d.groups[host]
 	if !ok && d.set.HasHost(host) {
-		services = d.set.Together(host)
+		services = d.set.LinkedServices(host)
 		d.groups[host] = services
 	}
 	return services
--- a/control/operator/watch.go
+++ b/control/operator/watch.go
@@ -200,7 +200,7 @@
 	if older == "" && from > 0 {
 		return nil // the older version is no longer stored
 	}
-	data, err := delta.Make(older, newer)
+	data, err := delta.Diff(older, newer)
 	if err != nil {
 		return nil
 	}
