--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -75,7 +75,7 @@
 	if few := demand.hosts(services); few <= placement.Zones(entries) {
 		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(few, d.least)}).Hosts(), true
 	}
-	return placement.Near(entries, zone, d.pool(host, demand, entries)), true
+	return placement.ChooseFromPool(entries, zone, d.pool(host, demand, entries)), true
 }
 
 // pool returns which entry hosts callers of a name share with others.
@@ -84,10 +84,10 @@
 	all, bulk := d.set.Services(), d.set.Bulk(strings.ToLower(host))
 	d.mu.Unlock()
 	light, large := demand.pools(all)
-	pool := placement.Pool{N: light, Most: maxHosts, Bulk: bulk}
+	pool := placement.Pool{Size: light, MaxHosts: maxHosts, Bulk: bulk}
 	if bulk {
 		// No other requests wait there; each zone rounds up.
-		pool.N = max(large, len(entries)-light-placement.Zones(entries)+1)
+		pool.Size = max(large, len(entries)-light-placement.Zones(entries)+1)
 	}
 	return pool
 }
@@ -121,12 +121,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.set == nil || version.GetNumber() > d.number {
-		d.set, _ = rule.ReadChange(d.set, "rules", text)
+		d.set, _ = rule.ReadIncremental(d.set, "rules", text)
 		d.number, d.groups = version.GetNumber(), map[string][]string{}
 	}
 	services, known := d.groups[host]
 	if !known && d.set.HasHost(host) {
-		services = d.set.Together(host)
+		services = d.set.LinkedServices(host)
 		d.groups[host] = services
 	}
 	return services
--- a/control/operator/rules.go
+++ b/control/operator/rules.go
@@ -74,7 +74,7 @@
 	if len(req.GetText()) > maxTextBytes {
 		return nil, twirp.InvalidArgumentError("text", fmt.Sprintf("is larger than %d bytes", maxTextBytes))
 	}
-	set, findings := rule.ParseChange(s.checked.Load(), "rules", req.GetText())
+	set, findings := rule.ParseIncremental(s.checked.Load(), "rules", req.GetText())
 	if err := findings.Err(); err != nil {
 		return nil, twirp.InvalidArgumentError("text", err.Error())
 	}
--- a/control/operator/watch.go
+++ b/control/operator/watch.go
@@ -193,7 +193,7 @@
 	if older == "" && from > 0 {
 		return nil // no longer kept
 	}
-	data, err := delta.Make(older, newer)
+	data, err := delta.Diff(older, newer)
 	if err != nil {
 		return nil
 	}
