--- a/world/contract/contract.go
+++ b/world/contract/contract.go
@@ -1,5 +1,6 @@
-// Package contract holds what an operator promised for the requests that one
-// rule matches: deadline, retries, at most one execution, zones and limits.
+// Package contract holds the terms that an operator sets for requests: those of a
+// rule, such as deadline, retries, at-most-once execution, zone preference and
+// limits, and those of a whole service.
 //
 // Usage:
 //
@@ -9,13 +10,14 @@
 
 import "time"
 
-// DefaultDeadline applies to a rule that names no deadline.
+// DefaultDeadline applies to rules without a deadline.
 const DefaultDeadline = 10 * time.Second
 
-// DefaultOnceHeader carries the idempotency key unless the rule names another.
+// DefaultOnceHeader is the header with the idempotency key unless the rule names
+// another one.
 const DefaultOnceHeader = "Idempotency-Key"
 
-// ZonePreference says how the zone of an instance weighs in a choice.
+// ZonePreference determines how routing treats instances in other zones.
 type ZonePreference int
 
 // Zone preferences.
@@ -25,27 +27,27 @@
 	ZoneRequire
 )
 
-// String returns the word used in a rules file.
+// String returns the keyword of the rules file.
 func (z ZonePreference) String() string {
 	return [...]string{"prefer", "any", "require"}[z]
 }
 
-// Priority orders requests that wait at an entry host.
+// Priority orders queued requests at an entry host.
 type Priority int
 
-// Priorities, the most urgent first.
+// Priorities, most urgent first.
 const (
 	PriorityHigh Priority = iota
 	PriorityNormal
 	PriorityLow
 )
 
-// String returns the word used in a rules file.
+// String returns the keyword of the rules file.
 func (p Priority) String() string {
 	return [...]string{"high", "normal", "low"}[p]
 }
 
-// Contract is immutable.
+// Contract holds the terms of one rule. It is immutable.
 type Contract struct {
 	deadline       time.Duration
 	retries        int
@@ -67,7 +69,7 @@
 // Option changes one term of a contract.
 type Option func(*Contract)
 
-// New returns a contract with the defaults and the given terms.
+// New returns a contract with the given terms and defaults for the rest.
 func New(opts ...Option) *Contract {
 	c := &Contract{deadline: DefaultDeadline, priority: PriorityNormal}
 	for _, opt := range opts {
@@ -76,13 +78,14 @@
 	return c
 }
 
-// WithDeadline sets the time within which the whole answer must have begun.
+// WithDeadline sets the time within which the response must have started.
 func WithDeadline(d time.Duration) Option { return func(c *Contract) { c.deadline = d } }
 
-// WithRetries sets how many further attempts a request may have.
+// WithRetries sets the maximum number of retries of a request.
 func WithRetries(n int) Option { return func(c *Contract) { c.retries = n } }
 
-// WithOnce makes requests run at most once, identified by the named header.
+// WithOnce makes requests run at most once for each idempotency key, which the
+// named header carries.
 func WithOnce(header string) Option { return func(c *Contract) { c.onceHeader = header } }
 
 // WithZone sets the zone preference.
@@ -91,28 +94,28 @@
 // WithPriority sets the priority.
 func WithPriority(p Priority) Option { return func(c *Contract) { c.priority = p } }
 
-// WithHedge allows a second copy of a slow request.
+// WithHedge allows hedging: a second copy of a slow request.
 func WithHedge() Option { return func(c *Contract) { c.hedge = true } }
 
-// WithFinish lets the upstream finish when the caller has gone.
+// WithFinish lets the upstream finish a request after the caller has disconnected.
 func WithFinish() Option { return func(c *Contract) { c.finish = true } }
 
-// WithMaxBody sets the largest request body in bytes, 0 for the host's limit.
+// WithMaxBody limits the request body in bytes; 0 means the host's limit.
 func WithMaxBody(n int64) Option { return func(c *Contract) { c.maxBody = n } }
 
-// WithCallerInFlight bounds the requests in flight of one caller, 0 for none.
+// WithCallerInFlight limits the requests in flight of one caller; 0 means no limit.
 func WithCallerInFlight(n int) Option { return func(c *Contract) { c.callerInFlight = n } }
 
-// WithCallerRate bounds the requests a second of one caller, 0 for none.
+// WithCallerRate limits the requests a second of one caller; 0 means no limit.
 func WithCallerRate(r float64) Option { return func(c *Contract) { c.callerRate = r } }
 
-// Deadline returns the time within which the answer must have begun.
+// Deadline returns the time within which the response must have started.
 func (c *Contract) Deadline() time.Duration { return c.deadline }
 
-// Retries returns how many further attempts a request may have.
+// Retries returns the maximum number of retries of a request.
 func (c *Contract) Retries() int { return c.retries }
 
-// Once reports whether a request may run at most once.
+// Once reports whether requests run at most once for each idempotency key.
 func (c *Contract) Once() bool { return c.onceHeader != "" }
 
 // OnceHeader returns the header that carries the idempotency key.
@@ -124,53 +127,58 @@
 // Priority returns the priority.
 func (c *Contract) Priority() Priority { return c.priority }
 
-// Hedge reports whether a second copy of a slow request is allowed.
+// Hedge reports whether hedging of slow requests is allowed.
 func (c *Contract) Hedge() bool { return c.hedge }
 
-// Finish reports whether the upstream finishes when the caller has gone.
+// Finish reports whether the upstream may finish a request after the caller has
+// disconnected.
 func (c *Contract) Finish() bool { return c.finish }
 
-// MaxBody returns the largest request body in bytes, 0 for the host's limit.
+// MaxBody returns the limit on the request body in bytes; 0 means the host's limit.
 func (c *Contract) MaxBody() int64 { return c.maxBody }
 
-// CallerInFlight returns the bound on one caller's requests in flight, 0 for none.
+// CallerInFlight returns the limit on one caller's requests in flight; 0 means no
+// limit.
 func (c *Contract) CallerInFlight() int { return c.callerInFlight }
 
-// CallerRate returns the bound on one caller's requests a second, 0 for none.
+// CallerRate returns the limit on one caller's requests a second; 0 means no limit.
 func (c *Contract) CallerRate() float64 { return c.callerRate }
 
-// WithSingle makes each request run at most once as it was sent, without a
-// key: it goes on to another instance only after one that did not run it.
+// WithSingle makes each request run at most once without an idempotency key: it is
+// sent to another instance only if the previous one did not run it.
 func WithSingle() Option { return func(c *Contract) { c.single = true } }
 
-// WithBulk says that bodies are large: on thin links they go to other entry
-// hosts than small ones.
+// WithBulk marks bodies as large: where network links are slow, such requests use
+// other entry hosts than small ones.
 func WithBulk() Option { return func(c *Contract) { c.bulk = true } }
 
-// WithAttempts bounds the instances that one request may be sent to, 0 for no
-// bound.
+// WithAttempts limits the number of instances that one request may be sent to; 0
+// means no limit.
 func WithAttempts(n int) Option { return func(c *Contract) { c.attempts = n } }
 
-// WithAim sets the time within which an answer is worth most, 0 if unknown.
+// WithAim sets the soft deadline, the time after which a response is worth less to
+// the caller; 0 means none.
 func WithAim(d time.Duration) Option { return func(c *Contract) { c.aim = d } }
 
-// WithTimeout bounds the time from a request's arrival to its answer, 0 for
-// no bound.
+// WithTimeout limits the time from a request's arrival to its response; 0 means no
+// limit.
 func WithTimeout(d time.Duration) Option { return func(c *Contract) { c.timeout = d } }
 
-// Single reports whether each request runs at most once as it was sent.
+// Single reports whether each request runs at most once without an idempotency
+// key.
 func (c *Contract) Single() bool { return c.single }
 
 // Bulk reports whether bodies are large.
 func (c *Contract) Bulk() bool { return c.bulk }
 
-// Attempts returns the bound on the instances that one request may be sent
-// to, 0 for none.
+// Attempts returns the limit on the number of instances that one request may be
+// sent to; 0 means no limit.
 func (c *Contract) Attempts() int { return c.attempts }
 
-// Aim returns the time within which an answer is worth most, 0 if unknown.
+// Aim returns the soft deadline, the time after which a response is worth less to
+// the caller; 0 means none.
 func (c *Contract) Aim() time.Duration { return c.aim }
 
-// Timeout returns the bound on the time from a request's arrival to its
-// answer, 0 for none.
+// Timeout returns the limit on the time from a request's arrival to its response; 0
+// means no limit.
 func (c *Contract) Timeout() time.Duration { return c.timeout }
--- a/world/contract/policy.go
+++ b/world/contract/policy.go
@@ -10,7 +10,7 @@
 	PolicyRoundRobin = "roundRobin"
 )
 
-// PolicyNames returns the policies that rules and settings may name.
+// PolicyNames returns the names of the policies that rules and settings may use.
 func PolicyNames() []string {
 	return []string{PolicyAdaptive, PolicyLeast, PolicyPeakEWMA, PolicyPowerOfTwo, PolicyRandom, PolicyRoundRobin}
 }
--- a/world/contract/service.go
+++ b/world/contract/service.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Defaults of a service that no service line names.
+// Defaults of the terms of a service.
 const (
 	DefaultProbeBudget     = 0.01 // share of slot time
 	DefaultBacklogCount    = 50
 	DefaultBacklogAge      = 2 * time.Second
-	DefaultSpread          = 3 // entry hosts that serve one service in a zone group
+	DefaultSpread          = 3 // entry hosts given to a service's callers, including spares
 	DefaultRetryBudget     = 0.1
 	DefaultServiceOwner    = "nobody named"
 	DefaultServiceInFlight = 0
 	DefaultServiceRate     = 0
 )
 
-// Service holds the terms that bind a whole service. It is immutable.
+// Service holds the terms that apply to a whole service. It is immutable.
 type Service struct {
 	name           string
 	owner          string
@@ -36,7 +36,7 @@
 // ServiceOption changes one term of a service.
 type ServiceOption func(*Service)
 
-// NewService returns the terms of a service with defaults for the rest.
+// NewService returns a service with the given terms and defaults for the rest.
 func NewService(name string, opts ...ServiceOption) *Service {
 	s := &Service{
 		name: name, owner: DefaultServiceOwner, probeBudget: DefaultProbeBudget,
@@ -50,7 +50,7 @@
 	return s
 }
 
-// WithOwner names who is told of a growing backlog.
+// WithOwner names who is notified of a growing backlog.
 func WithOwner(owner string) ServiceOption { return func(s *Service) { s.owner = owner } }
 
 // WithProbeBudget sets the share of an instance's slot time that probes may use.
@@ -58,31 +58,32 @@
 	return func(s *Service) { s.probeBudget = share }
 }
 
-// WithBacklog sets the count and age from which waiting requests are a backlog.
+// WithBacklog sets the number of waiting requests and the age of the oldest one
+// from which they count as a backlog.
 func WithBacklog(count int, age time.Duration) ServiceOption {
 	return func(s *Service) { s.backlogCount, s.backlogAge = count, age }
 }
 
-// WithInFlight bounds the requests in flight, 0 for none.
+// WithInFlight limits the requests in flight; 0 means no limit.
 func WithInFlight(n int) ServiceOption { return func(s *Service) { s.inFlight = n } }
 
-// WithRate bounds the requests a second, 0 for none.
+// WithRate limits the requests a second; 0 means no limit.
 func WithRate(r float64) ServiceOption { return func(s *Service) { s.rate = r } }
 
-// WithEachCallerInFlight bounds each caller's requests in flight, 0 for none.
+// WithEachCallerInFlight limits each caller's requests in flight; 0 means no limit.
 func WithEachCallerInFlight(n int) ServiceOption {
 	return func(s *Service) { s.callerInFlight = n }
 }
 
-// WithEachCallerRate bounds each caller's requests a second, 0 for none.
+// WithEachCallerRate limits each caller's requests a second; 0 means no limit.
 func WithEachCallerRate(r float64) ServiceOption {
 	return func(s *Service) { s.callerRate = r }
 }
 
-// WithSpread sets how many entry hosts a service's callers are sent to.
+// WithSpread sets the number of entry hosts that a service's callers are given.
 func WithSpread(n int) ServiceOption { return func(s *Service) { s.spread = n } }
 
-// WithPolicy names the routing policy, empty for the host's default.
+// WithPolicy sets the routing policy by name; empty means the host's default.
 func WithPolicy(name string) ServiceOption { return func(s *Service) { s.policy = name } }
 
 // WithRetryBudget sets the share of requests that may be retries.
@@ -93,53 +94,55 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return s.name }
 
-// Owner returns who is told of a growing backlog.
+// Owner returns who is notified of a growing backlog.
 func (s *Service) Owner() string { return s.owner }
 
 // ProbeBudget returns the share of an instance's slot time that probes may use.
 func (s *Service) ProbeBudget() float64 { return s.probeBudget }
 
-// BacklogCount returns the number of waiting requests that make a backlog.
+// BacklogCount returns the number of waiting requests that count as a backlog.
 func (s *Service) BacklogCount() int { return s.backlogCount }
 
-// BacklogAge returns the age of the oldest request that makes a backlog.
+// BacklogAge returns the age of the oldest waiting request that counts as a
+// backlog.
 func (s *Service) BacklogAge() time.Duration { return s.backlogAge }
 
-// InFlight returns the bound on requests in flight, 0 for none.
+// InFlight returns the limit on requests in flight; 0 means no limit.
 func (s *Service) InFlight() int { return s.inFlight }
 
-// Rate returns the bound on requests a second, 0 for none.
+// Rate returns the limit on requests a second; 0 means no limit.
 func (s *Service) Rate() float64 { return s.rate }
 
-// CallerInFlight returns the bound on each caller's requests in flight, 0 for none.
+// CallerInFlight returns the limit on each caller's requests in flight; 0 means no
+// limit.
 func (s *Service) CallerInFlight() int { return s.callerInFlight }
 
-// CallerRate returns the bound on each caller's requests a second, 0 for none.
+// CallerRate returns the limit on each caller's requests a second; 0 means no limit.
 func (s *Service) CallerRate() float64 { return s.callerRate }
 
-// Spread returns how many entry hosts a service's callers are sent to.
+// Spread returns the number of entry hosts that a service's callers are given.
 func (s *Service) Spread() int { return s.spread }
 
-// Policy returns the routing policy's name, empty for the host's default.
+// Policy returns the routing policy's name; empty means the host's default.
 func (s *Service) Policy() string { return s.policy }
 
 // RetryBudget returns the share of requests that may be retries.
 func (s *Service) RetryBudget() float64 { return s.retryBudget }
 
-// WithHealth sets the path at which an instance tells of its load, empty if it
-// has none.
+// WithHealth sets the path at which an instance reports its load; empty means that
+// it has none.
 func WithHealth(path string) ServiceOption { return func(s *Service) { s.health = path } }
 
-// Health returns the path at which an instance tells of its load, empty if it
-// has none.
+// Health returns the path at which an instance reports its load; empty means that
+// it has none.
 func (s *Service) Health() string { return s.health }
 
-// WithRetryAllowance adds to the retry budget so many retries in any window, of
-// all hosts together.
+// WithRetryAllowance allows n further retries in any window beyond the retry
+// budget, for all hosts together.
 func WithRetryAllowance(n int, window time.Duration) ServiceOption {
 	return func(s *Service) { s.allowance, s.window = n, window }
 }
 
-// RetryAllowance returns how many retries beside the budget's share of the
-// requests there may be in any window, 0 for none.
+// RetryAllowance returns the number of retries allowed in any window beyond the
+// retry budget; 0 means none.
 func (s *Service) RetryAllowance() (n int, window time.Duration) { return s.allowance, s.window }
--- a/world/delta/delta.go
+++ b/world/delta/delta.go
@@ -1,11 +1,11 @@
-// Package delta sends a text as its difference to an older one. A difference
-// is a list of steps, each of which copies lines of the older text and adds
-// new ones. Whoever applies it checks the result by its digest, and asks for
-// the whole text if it is another one.
+// Package delta encodes a text as a delta from an older one, by lines. A delta is
+// a list of steps, each of which copies lines of the older text and adds new ones.
+// The receiver verifies the result by its digest, and requests the whole text if
+// the digest differs.
 //
 // Usage:
 //
-//	data := delta.Make(older, newer)
+//	data, err := delta.Diff(older, newer)
 //	text, err := delta.Apply(older, data)
 //	if err != nil || delta.Digest(text) != version.GetDigest() { ... }
 package delta
@@ -23,54 +23,55 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ErrMismatch means that a difference does not belong to the older text.
-var ErrMismatch = errors.New("the difference is not to this text")
+// ErrMismatch means that a delta does not apply to the older text, or that its
+// result is too large.
+var ErrMismatch = errors.New("delta does not apply to this text")
 
-// MaxTextBytes bounds the text that a difference may build.
+// MaxTextBytes is the largest text that a delta may produce.
 const MaxTextBytes = 16 << 20
 
-// Digest returns the digest of a text: xxhash64 in hex.
+// Digest returns the xxhash64 digest of a text in hex.
 func Digest(text string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(text)) }
 
-// Diff returns the encoded difference from an older text to a newer one.
+// Diff returns the encoded delta from an older text to a newer one.
 func Diff(older, newer string) ([]byte, error) {
-	m := &maker{older: lines(older), places: map[string]int{}}
-	for n := len(m.older) - 1; n >= 0; n-- {
-		m.places[m.older[n]] = n
+	d := &differ{older: splitLines(older), positions: map[string]int{}}
+	for n := len(d.older) - 1; n >= 0; n-- {
+		d.positions[d.older[n]] = n
 	}
-	for _, line := range lines(newer) {
-		m.add(line)
+	for _, line := range splitLines(newer) {
+		d.add(line)
 	}
-	m.flush()
-	data, err := proto.Marshal(&wire.TextDelta{BaseDigest: Digest(older), Steps: m.steps})
+	d.flush()
+	data, err := proto.Marshal(&wire.TextDelta{BaseDigest: Digest(older), Steps: d.steps})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode difference")
+		return nil, errors.Wrap(err, "encode delta")
 	}
-	return pack(data)
+	return compress(data)
 }
 
-// pack compresses a difference: lines of rules are much alike.
-func pack(data []byte) ([]byte, error) {
+// compress compresses an encoded delta, since lines of a rules file are similar.
+func compress(data []byte) ([]byte, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
 	if err != nil {
-		return nil, errors.Wrap(err, "compress difference")
+		return nil, errors.Wrap(err, "compress delta")
 	}
 	if _, err := w.Write(data); err != nil {
-		return nil, errors.Wrap(err, "compress difference")
+		return nil, errors.Wrap(err, "compress delta")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "compress difference")
+		return nil, errors.Wrap(err, "compress delta")
 	}
 	return packed.Bytes(), nil
 }
 
-func unpack(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(data))
 	defer r.Close()
 	all, err := io.ReadAll(io.LimitReader(r, MaxTextBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "decompress difference")
+		return nil, errors.Wrap(err, "decompress delta")
 	}
 	if len(all) > MaxTextBytes {
 		return nil, ErrMismatch
@@ -78,75 +79,76 @@
 	return all, nil
 }
 
-// lines splits a text after each line end; joining gives it back.
-func lines(text string) []string {
+// splitLines splits a text after each line feed; the lines joined are the text.
+func splitLines(text string) []string {
 	if text == "" {
 		return nil
 	}
 	return strings.SplitAfter(text, "\n")
 }
 
-// maker collects steps. Lines are matched in order from the place after the
-// last copied line, or else from the first place of the same line.
-type maker struct {
-	older  []string
-	places map[string]int
-	steps  []*wire.TextStep
-	from   int
-	copied int
-	added  strings.Builder
+// differ builds the steps of a delta. A line is matched first after the last copied
+// line, else at its first position in the older text.
+type differ struct {
+	older     []string
+	positions map[string]int
+	steps     []*wire.TextStep
+	from      int
+	copied    int
+	added     strings.Builder
 }
 
-func (m *maker) add(line string) {
-	next := m.from + m.copied
-	if m.added.Len() == 0 && next < len(m.older) && m.older[next] == line {
-		m.copied++
+func (d *differ) add(line string) {
+	next := d.from + d.copied
+	if d.added.Len() == 0 && next < len(d.older) && d.older[next] == line {
+		d.copied++
 		return
 	}
-	at, known := m.find(line, next)
-	if !known {
-		m.added.WriteString(line)
+	at, found := d.find(line, next)
+	if !found {
+		d.added.WriteString(line)
 		return
 	}
-	m.flush()
-	m.from, m.copied = at, 1
+	d.flush()
+	d.from, d.copied = at, 1
 }
 
-// find prefers a near place further on, so that repeated lines do not make
-// many steps.
-func (m *maker) find(line string, next int) (int, bool) {
-	const near = 8
-	for at := next; at < min(next+near, len(m.older)); at++ {
-		if m.older[at] == line {
+// find returns the position of a line in the older text. It prefers one shortly
+// after next, so that repeated lines do not produce many steps.
+func (d *differ) find(line string, next int) (int, bool) {
+	const window = 8
+	for at := next; at < min(next+window, len(d.older)); at++ {
+		if d.older[at] == line {
 			return at, true
 		}
 	}
-	at, known := m.places[line]
-	return at, known
+	at, found := d.positions[line]
+	return at, found
 }
 
-func (m *maker) flush() {
-	if m.copied > 0 || m.added.Len() > 0 {
-		m.steps = append(m.steps, &wire.TextStep{From: uint32(m.from), Lines: uint32(m.copied), Added: m.added.String()})
+func (d *differ) flush() {
+	if d.copied > 0 || d.added.Len() > 0 {
+		d.steps = append(d.steps, &wire.TextStep{From: uint32(d.from), Lines: uint32(d.copied), Added: d.added.String()})
 	}
-	m.copied = 0
-	m.added.Reset()
+	d.copied = 0
+	d.added.Reset()
 }
 
-// Apply returns the newer text.
+// Apply returns the newer text, given the older one and the encoded delta. It
+// returns ErrMismatch if the delta was made for another text.
 func Apply(older string, data []byte) (string, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return "", err
 	}
 	d := &wire.TextDelta{}
 	if err := proto.Unmarshal(data, d); err != nil {
-		return "", errors.Wrap(err, "read difference")
+		return "", errors.Wrap(err, "decode delta")
 	}
 	if d.GetBaseDigest() != Digest(older) {
 		return "", ErrMismatch
 	}
-	all := lines(older)
+	all := splitLines(older)
 	var text strings.Builder
 	for _, step := range d.GetSteps() {
 		from, end := uint64(step.GetFrom()), uint64(step.GetFrom())+uint64(step.GetLines())
--- a/world/delta/delta_test.go
+++ b/world/delta/delta_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-func TestAnyDifferenceGivesTheNewerText(t *testing.T) {
+func TestApplyRestoresTheNewerText(t *testing.T) {
 	text := rapid.Custom(func(t *rapid.T) string {
 		return strings.Join(rapid.SliceOf(rapid.SampledFrom([]string{"a\n", "b\n", "c\n", "\n", "d", "é\n"})).Draw(t, "lines"), "")
 	})
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestOneChangedLineIsASmallDifference(t *testing.T) {
+func TestAFewChangedLinesMakeASmallDelta(t *testing.T) {
 	var rules []string
 	for n := range 2000 {
 		rules = append(rules, fmt.Sprintf("route s%d GET /lookup/**: deadline 300ms # Marie: a piercer waits\n", n))
--- a/world/placement/placement.go
+++ b/world/placement/placement.go
@@ -1,13 +1,13 @@
-// Package placement answers callers that ask which entry hosts to use for a
-// service. Few hosts serve one service, so that what each of them has in
-// flight is nearly the whole truth about the service's instances; more are
-// used only if the service's rate asks for it. The other hosts of an answer
-// are spares for callers that cannot reach the first ones.
+// Package placement selects the entry hosts that callers use for a service. Few
+// hosts serve one service, so that the requests in flight at each of them are
+// nearly the whole load on the service's instances; more are active only if the
+// service's request rate requires it. The other hosts of a selection are spares
+// for callers that cannot reach the active ones.
 //
 // Usage:
 //
-//	answer := placement.Choose(entries, "catalogue", "trois-rivieres", placement.Plan{Spread: 3})
-//	for _, host := range answer.Active() { ... }
+//	selection := placement.Choose(entries, "catalogue", "trois-rivieres", placement.Plan{Spread: 3})
+//	for _, host := range selection.Active() { ... }
 package placement
 
 import (
@@ -19,45 +19,46 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// StateReady is the state of an entry host that takes callers.
+// StateReady is the state of an entry host that accepts requests from callers.
 const StateReady = "ready"
 
 // RoleEntry is the role of entry hosts.
 const RoleEntry = "entry"
 
-// Plan says how many hosts an answer names.
+// Plan sizes a selection.
 type Plan struct {
-	Spread   int     // hosts of an answer, spares included
-	Rate     float64 // requests a second of the service
-	HostRate float64 // requests a second that one host takes of a service, 0 for no bound
+	Spread   int     // hosts of a selection, including spares
+	Rate     float64 // requests a second for the service
+	HostRate float64 // requests a second for the service that one host can handle, 0 if unlimited
 }
 
-// Selection is the hosts that a caller uses for a service.
+// Selection is the entry hosts that a caller uses for a service.
 type Selection struct {
 	hosts  []*wire.HostReport
 	active int
 }
 
-// NewSelection returns an answer of hosts, of which the first ones are active.
+// NewSelection returns a selection of hosts, of which the first ones are active.
 func NewSelection(hosts []*wire.HostReport, active int) Selection {
 	return Selection{hosts: hosts, active: active}
 }
 
 // Hosts returns the active hosts, then the spares.
-func (a Selection) Hosts() []*wire.HostReport { return a.hosts }
+func (s Selection) Hosts() []*wire.HostReport { return s.hosts }
 
-// Active returns the hosts that callers use as long as they can be reached.
-func (a Selection) Active() []*wire.HostReport { return a.hosts[:a.active] }
+// Active returns the hosts that callers use while any of them is reachable.
+func (s Selection) Active() []*wire.HostReport { return s.hosts[:s.active] }
 
-// Spares returns the hosts used in their order when no active one is reached.
-func (a Selection) Spares() []*wire.HostReport { return a.hosts[a.active:] }
+// Spares returns the hosts used, in order, if no active host is reachable.
+func (s Selection) Spares() []*wire.HostReport { return s.hosts[s.active:] }
 
-// Choose returns the hosts for a service: ranked by rendezvous hashing, so
-// that every entry host gives the same answer and the loss of one host moves
-// only its own services; each next one in a zone that is not yet named.
+// Choose returns the hosts for a service. They are ranked by rendezvous hashing, so
+// that every entry host makes the same selection and the failure of one host moves
+// only the services it serves. They are spread over the zones, and the active ones
+// in the caller's zone come first.
 func Choose(entries []*wire.HostReport, service, zone string, plan Plan) Selection {
-	ranked := rank(entries, service)
-	hosts := overZones(ranked, max(plan.Spread, 1))
+	ranked := rankReady(entries, service)
+	hosts := spreadOverZones(ranked, max(plan.Spread, 1))
 	active := min(ActiveCount(plan.Rate, plan.HostRate), len(hosts))
 	sort.SliceStable(hosts[:active], func(i, j int) bool {
 		return hosts[i].GetZone() == zone && hosts[j].GetZone() != zone
@@ -65,20 +66,20 @@
 	return NewSelection(hosts, active)
 }
 
-// Pool is the entry hosts that many names share where a few hosts a service
-// cannot carry the requests.
+// Pool sizes a set of entry hosts that many host names share, where a few hosts
+// for each service cannot handle the requests.
 type Pool struct {
-	Size     int  // hosts of all zones together
-	MaxHosts int  // hosts of one answer
-	Bulk     bool // for large bodies, which keep others on a thin link waiting
+	Size     int  // hosts in all zones together
+	MaxHosts int  // upper limit of hosts returned to a caller
+	Bulk     bool // for large bodies, which would delay small requests on a slow network link
 }
 
-// ChooseFromPool returns a pool's entry hosts for callers in a zone: those of that zone, so
-// that bodies do not cross zones, and others where the zone has too few. The
-// hosts for large bodies are others than those for small ones as long as there
-// are enough.
+// ChooseFromPool returns a pool's entry hosts for callers in a zone: those of that
+// zone, so that bodies do not cross zones, and hosts of other zones if it has too
+// few. Large bodies are ranked in reverse order, so that they use different hosts
+// than small ones as long as there are enough.
 func ChooseFromPool(entries []*wire.HostReport, zone string, p Pool) []*wire.HostReport {
-	ranked := rank(entries, "")
+	ranked := rankReady(entries, "")
 	if p.Bulk {
 		slices.Reverse(ranked)
 	}
@@ -96,7 +97,7 @@
 	return ranked[:n]
 }
 
-// Zones returns the number of zones that hosts stand in.
+// Zones returns the number of distinct zones of the hosts.
 func Zones(hosts []*wire.HostReport) int {
 	zones := map[string]bool{}
 	for _, host := range hosts {
@@ -105,7 +106,7 @@
 	return len(zones)
 }
 
-// ActiveCount returns how many hosts carry a service's rate.
+// ActiveCount returns the number of hosts needed for a request rate, at least 1.
 func ActiveCount(rate, hostRate float64) int {
 	if hostRate <= 0 {
 		return 1
@@ -113,7 +114,7 @@
 	return max(int(math.Ceil(rate/hostRate)), 1)
 }
 
-func rank(entries []*wire.HostReport, service string) []*wire.HostReport {
+func rankReady(entries []*wire.HostReport, service string) []*wire.HostReport {
 	var ready []*wire.HostReport
 	for _, host := range entries {
 		if host.GetRole() == RoleEntry && host.GetState() == StateReady {
@@ -126,21 +127,21 @@
 	return ready
 }
 
-// overZones takes up to n hosts, each time the first one in a zone that has
-// the fewest so far.
-func overZones(ranked []*wire.HostReport, n int) []*wire.HostReport {
-	taken := map[string]int{}
+// spreadOverZones selects up to n hosts: each time the highest-ranked one of the
+// zones with the fewest selected hosts.
+func spreadOverZones(ranked []*wire.HostReport, n int) []*wire.HostReport {
+	selected := map[string]int{}
 	var hosts []*wire.HostReport
 	left := slices.Clone(ranked)
 	for len(hosts) < n && len(left) > 0 {
 		best := 0
 		for i, host := range left {
-			if taken[host.GetZone()] < taken[left[best].GetZone()] {
+			if selected[host.GetZone()] < selected[left[best].GetZone()] {
 				best = i
 			}
 		}
 		hosts = append(hosts, left[best])
-		taken[left[best].GetZone()]++
+		selected[left[best].GetZone()]++
 		left = slices.Delete(left, best, best+1)
 	}
 	return hosts
--- a/world/placement/placement_test.go
+++ b/world/placement/placement_test.go
@@ -33,18 +33,18 @@
 	return all
 }
 
-func TestLossMovesOnlyTheLostHost(t *testing.T) {
+func TestFailureReplacesOnlyTheFailedHost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := fleet(rapid.IntRange(4, 29).Draw(t, "hosts"), 1)
 		service := rapid.StringMatching(`[a-z]{3,9}`).Draw(t, "service")
 		plan := placement.Plan{Spread: 3}
 		before := names(placement.Choose(entries, service, "", plan).Hosts())
-		lost := rapid.IntRange(0, len(entries)-1).Draw(t, "lost")
-		entries[lost].State = "silent"
+		failed := rapid.IntRange(0, len(entries)-1).Draw(t, "lost")
+		entries[failed].State = "silent"
 		after := names(placement.Choose(entries, service, "", plan).Hosts())
 		var kept []string
 		for _, name := range before {
-			if name != entries[lost].GetName() {
+			if name != entries[failed].GetName() {
 				kept = append(kept, name)
 			}
 		}
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestHostsOfAnAnswerStandInDifferentZones(t *testing.T) {
+func TestSelectedHostsAreInDifferentZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := rapid.StringMatching(`[a-z]{3,9}`).Draw(t, "service")
 		zones := map[string]bool{}
@@ -74,7 +74,7 @@
 	must.Len(t, 4, placement.Choose(entries, "catalogue", "", plan).Active())
 }
 
-func TestRatesAreReplacedWhole(t *testing.T) {
+func TestStoreReplacesAllRates(t *testing.T) {
 	rates := placement.NewRates()
 	must.Zero(t, rates.ArrivalRate("catalogue"))
 	rates.Store([]*wire.ServiceRate{{Service: "catalogue", ArrivalsPerS: 7}})
@@ -83,7 +83,7 @@
 	must.Zero(t, rates.ArrivalRate("catalogue"))
 }
 
-func TestHostsThatAreNotReadyAreNotNamed(t *testing.T) {
+func TestOnlyReadyEntryHostsAreSelected(t *testing.T) {
 	entries := fleet(3, 3)
 	entries[0].State, entries[1].Role = "draining", "control"
 	must.Eq(t, []string{"entry-2"}, names(placement.Choose(entries, "catalogue", "", placement.Plan{Spread: 3}).Hosts()))
--- a/world/placement/rate.go
+++ b/world/placement/rate.go
@@ -6,16 +6,16 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Rates holds the arrivals a second of each service over all entry hosts, as
-// the control hosts last told them.
+// Rates holds the requests that arrive a second for each service at all entry hosts
+// together, as last received from a control host.
 type Rates struct {
 	current atomic.Pointer[map[string]float64]
 }
 
-// NewRates returns rates of zero.
+// NewRates returns rates that are 0 for every service.
 func NewRates() *Rates { return &Rates{} }
 
-// Store replaces the rates.
+// Store replaces the rates of all services.
 func (r *Rates) Store(rates []*wire.ServiceRate) {
 	next := make(map[string]float64, len(rates))
 	for _, one := range rates {
@@ -24,7 +24,8 @@
 	r.current.Store(&next)
 }
 
-// ArrivalRate returns the arrivals a second of a service, 0 if unknown.
+// ArrivalRate returns the requests that arrive a second for a service, 0 if
+// unknown.
 func (r *Rates) ArrivalRate(service string) float64 {
 	current := r.current.Load()
 	if current == nil {
--- a/world/rule/at.go
+++ b/world/rule/at.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// maxWeight bounds the weight of a share.
+// maxWeight is the largest weight of a share.
 const maxWeight = 1_000_000
 
-// at reads what a line says of requests that name no service: their host, the
-// prefix of their paths, and the services among which they are divided.
-func (p *parser) at(n int, node *routeNode, r *Rule) {
+// hostRoute parses the parts of a route line with "at": the HTTP host, the path
+// prefix and the traffic split.
+func (p *parser) hostRoute(n int, node *routeNode, r *Rule) {
 	if node.At == nil {
 		if node.Weight != "" || len(node.Others) > 0 {
 			p.fail(n, node.Pos.Column, "weights stand on a line without a host", "write at HOST /PREFIX/ after them")
@@ -31,7 +31,7 @@
 	r.shares = append(r.shares, Share{service: node.Service, weight: p.weight(n, node.Pos.Column, node.Weight)})
 	total := r.shares[0].weight
 	for _, other := range node.Others {
-		p.named(n, other.Service, other.Pos)
+		p.checkServiceName(n, other.Service, other.Pos)
 		share := Share{service: other.Service, weight: p.weight(n, other.Pos.Column, other.Weight)}
 		r.shares = append(r.shares, share)
 		total += share.weight
@@ -49,16 +49,16 @@
 	return weight
 }
 
-// addAt adds a rule of a host.
-func (p *parser) addAt(r *Rule) {
+// addHostRoute adds a rule that matches by HTTP host.
+func (p *parser) addHostRoute(r *Rule) {
 	for _, service := range append(r.Services(), r.service) {
-		p.know(service)
-		p.set.targets[service] = true
+		p.addServiceName(service)
+		p.set.hostServices[service] = true
 	}
-	p.set.hosts[r.host] = append(p.set.hosts[r.host], r)
+	p.set.byHost[r.host] = append(p.set.byHost[r.host], r)
 }
 
-// RequestHost returns the host of a request without its port, in lower case.
+// RequestHost returns the HTTP host of a request without its port, in lower case.
 func RequestHost(r *http.Request) string {
 	host := r.Host
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
--- a/world/rule/at_test.go
+++ b/world/rule/at_test.go
@@ -28,7 +28,7 @@
 	must.Eq(t, "route pay=90,trial=10 at a.example /x/: single # Marie: why\n", text)
 }
 
-func TestLinesOfHostsAreChecked(t *testing.T) {
+func TestMistakesInHostRoutesAreFound(t *testing.T) {
 	for line, want := range map[string]string{
 		"route a at b.example /x: single # M: y":           "begins and ends with a slash",
 		"route a=0,b=0 at b.example /x/: single # M: y":    "add up to 0",
--- a/world/rule/condition.go
+++ b/world/rule/condition.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Condition asks for one value of a request header.
+// Condition requires a request header to have a value.
 type Condition struct {
-	header string // in canonical case
+	header string // in canonical form
 	value  string
 }
 
-// Header returns the header's name.
+// Header returns the header's name in canonical form.
 func (c Condition) Header() string { return c.header }
 
-// Value returns the value that the header must have.
+// Value returns the required value.
 func (c Condition) Value() string { return c.value }
 
 func newCondition(header, value string) Condition {
 	return Condition{header: textproto.CanonicalMIMEHeaderKey(header), value: value}
 }
 
-// holds reports whether any value of the header is the wanted one. A header
-// that stands several times and one with a comma-separated list mean the same.
-func (c Condition) holds(header http.Header) bool {
+// matches reports whether any value of the header is the required one. Repeated
+// header lines and a comma-separated list are equivalent.
+func (c Condition) matches(header http.Header) bool {
 	for _, line := range header[c.header] {
 		if strings.TrimSpace(line) == c.value {
 			return true
--- a/world/rule/cover.go
+++ b/world/rule/cover.go
@@ -5,11 +5,12 @@
 // httpMethods are the methods that a rule may name (RFC 9110, RFC 5789).
 var httpMethods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"}
 
-// idempotentMethods may be sent again without harm (RFC 9110, section 9.2.2).
+// idempotentMethods can be repeated safely (RFC 9110, section 9.2.2).
 var idempotentMethods = []string{"GET", "HEAD", "PUT", "DELETE", "OPTIONS"}
 
 // covers reports whether this rule matches every request with the method that
-// the other one matches. An empty method stands for methods not named anywhere.
+// the other one matches. The empty method represents every method that no rule
+// names.
 func (r *Rule) covers(other *Rule, method string) bool {
 	if len(r.methods) > 0 && !slices.Contains(r.methods, method) {
 		return false
@@ -25,8 +26,8 @@
 	return true
 }
 
-// matchesAlike reports whether both rules match the same requests.
-func (r *Rule) matchesAlike(other *Rule) bool {
+// matchesSameRequests reports whether both rules match the same requests.
+func (r *Rule) matchesSameRequests(other *Rule) bool {
 	return sameElements(r.methods, other.methods) && r.pattern.equal(other.pattern) &&
 		sameElements(r.conditions, other.conditions)
 }
@@ -42,8 +43,8 @@
 	return true
 }
 
-// coveredBy returns the earlier rules that together leave nothing to this one,
-// or none.
+// coveredBy returns the earlier rules that together match every request that this
+// rule matches, or none if some request is left for it.
 func (r *Rule) coveredBy(earlier []*Rule) []*Rule {
 	methods := r.methods
 	if len(methods) == 0 {
--- a/world/rule/format.go
+++ b/world/rule/format.go
@@ -6,13 +6,13 @@
 	"github.com/snipebeam/snipebeam/world/finding"
 )
 
-// Format returns a rules file in canonical form: one space between words, a
-// comma and a space between terms, one line feed at the end. Comments and
-// blank lines stay where they are. Lines that cannot be read are findings, and
-// then the text is empty.
+// Format returns a rules file in canonical form: tokens separated by one space,
+// terms by a comma and a space, and one line feed at the end. Comment lines and
+// blank lines are preserved. If a line is invalid, Format reports it as a finding
+// and returns an empty text.
 func Format(file, text string) (string, finding.List) {
 	p := newParser(file)
-	if !p.fits(text) {
+	if !p.checkSize(text) {
 		return "", p.findings
 	}
 	var b strings.Builder
@@ -25,7 +25,7 @@
 	return b.String(), p.findings
 }
 
-// splitLines returns the lines of a text without the blank ones at its end.
+// splitLines returns the lines of a text without trailing blank lines.
 func splitLines(text string) []string {
 	text = strings.TrimRight(text, " \t\r\n")
 	if text == "" {
@@ -76,7 +76,7 @@
 	return strings.TrimRight(" # "+strings.TrimSpace(who)+": "+strings.TrimSpace(why), " ")
 }
 
-// commentBody returns a comment without its sign and the space around it.
+// commentBody returns a comment without the # and surrounding white space.
 func commentBody(comment string) string {
 	return strings.TrimSpace(strings.TrimPrefix(comment, "#"))
 }
--- a/world/rule/grammar.go
+++ b/world/rule/grammar.go
@@ -22,7 +22,8 @@
 	participle.UseLookahead(2),
 )
 
-// lineNode is one line: a service line or a route line, then its comment.
+// lineNode is the syntax tree of one line: a service or route line, then its
+// comment.
 type lineNode struct {
 	Service *serviceNode `parser:"( 'service' @@"`
 	Route   *routeNode   `parser:"| 'route' @@ )"`
@@ -46,14 +47,14 @@
 	Conditions []*conditionNode `parser:"( 'when' @@ ( 'and' @@ )* )?"`
 }
 
-// shareNode is a further service among which requests are divided.
+// shareNode is a further service of a traffic split.
 type shareNode struct {
 	Pos     lexer.Position
 	Service string `parser:"@Word '='"`
 	Weight  string `parser:"@Quantity"`
 }
 
-// atNode is the host and the path prefix of requests that name no service.
+// atNode is the HTTP host and the path prefix that a route line with "at" matches.
 type atNode struct {
 	Pos    lexer.Position
 	Host   string `parser:"( @String | @Word )"`
--- a/world/rule/lint_test.go
+++ b/world/rule/lint_test.go
@@ -9,8 +9,7 @@
 	"github.com/snipebeam/snipebeam/world/rule"
 )
 
-// withService puts a service line before route lines, so that these start at
-// line 2.
+// withService prepends a service line to route lines, which then start at line 2.
 func withService(routes string) string { return "service a: owner O # w: why\n" + routes }
 
 func TestMistakesAreFound(t *testing.T) {
--- a/world/rule/parse.go
+++ b/world/rule/parse.go
@@ -14,51 +14,51 @@
 	"github.com/snipebeam/snipebeam/world/finding"
 )
 
-// Parse reads and checks a rules file. All findings are reported together; the
-// set holds the lines that could be read.
+// Parse parses and lints a rules file. All findings are reported together; the
+// set contains the lines that could be parsed.
 func Parse(file, text string) (*Set, finding.List) { return ParseIncremental(nil, file, text) }
 
-// ParseIncremental is Parse for a file that is much like one that was read before:
-// lines that stand in both are not parsed again.
-func ParseIncremental(before *Set, file, text string) (*Set, finding.List) {
-	set, findings := ReadIncremental(before, file, text)
+// ParseIncremental is Parse for a new version of a file: lines that are also in
+// the previous set are reused and not parsed again.
+func ParseIncremental(previous *Set, file, text string) (*Set, finding.List) {
+	set, findings := ReadIncremental(previous, file, text)
 	findings.Merge(lint(set))
 	return set, findings
 }
 
-// Read reads a rules file that was checked when it was submitted: what is well
-// formed is taken, so that a version once accepted stays usable when a later
-// release checks more.
+// Read parses a rules file without linting it. Files are linted when they are
+// submitted; a version that was accepted must remain usable with a later release
+// whose linter is stricter.
 func Read(file, text string) (*Set, finding.List) { return ReadIncremental(nil, file, text) }
 
-// ReadIncremental is Read for a file that is much like one that was read before:
-// lines that stand in both are not parsed again.
-func ReadIncremental(before *Set, file, text string) (*Set, finding.List) {
+// ReadIncremental is Read for a new version of a file: lines that are also in the
+// previous set are reused and not parsed again.
+func ReadIncremental(previous *Set, file, text string) (*Set, finding.List) {
 	p := newParser(file)
-	if !p.fits(text) {
+	if !p.checkSize(text) {
 		return p.set, p.findings
 	}
-	if before != nil {
-		p.known = before.lines
+	if previous != nil {
+		p.previous = previous.parsedLines
 	}
 	n := 0
 	for line := range strings.SplitSeq(text, "\n") {
 		n++
-		if !p.again(n, line) && !p.alike(n, line) {
-			p.fresh(n, line)
+		if !p.reuseLine(n, line) && !p.parseFromTemplate(n, line) {
+			p.parseNew(n, line)
 		}
 	}
-	for _, rules := range p.set.hosts {
+	for _, rules := range p.set.byHost {
 		slices.SortStableFunc(rules, func(a, b *Rule) int { return len(b.prefix) - len(a.prefix) })
 	}
 	return p.set, p.findings
 }
 
 func newParser(file string) *parser {
-	return &parser{file: file, models: map[string]*Rule{}, set: &Set{routes: map[string][]*Rule{}, services: map[string]*ServiceLine{}, hosts: map[string][]*Rule{}, targets: map[string]bool{}, lines: map[string]lineContent{}}}
+	return &parser{file: file, templates: map[string]*Rule{}, set: &Set{routes: map[string][]*Rule{}, services: map[string]*ServiceLine{}, byHost: map[string][]*Rule{}, hostServices: map[string]bool{}, parsedLines: map[string]lineContent{}}}
 }
 
-func (p *parser) fits(text string) bool {
+func (p *parser) checkSize(text string) bool {
 	if len(text) <= MaxFileBytes {
 		return true
 	}
@@ -67,31 +67,32 @@
 }
 
 type parser struct {
-	file     string
-	set      *Set
-	findings finding.List
-	known    map[string]lineContent // of the file that was read before
-	models   map[string]*Rule       // by services and terms
+	file      string
+	set       *Set
+	findings  finding.List
+	previous  map[string]lineContent // parsed lines of the previous version, by their text
+	templates map[string]*Rule       // by services and terms, see parseFromTemplate
 }
 
 func (p *parser) fail(line, column int, text, hint string) {
 	p.findings.Add(finding.Error, finding.At(p.file, line, column), text, hint)
 }
 
-// fresh parses a line and remembers it if it has no findings.
-func (p *parser) fresh(n int, text string) {
+// parseNew parses a line and records it for reuse if it has no findings.
+func (p *parser) parseNew(n int, text string) {
 	before := p.findings.Len()
-	// A copy, so that what is kept of a line does not keep its whole file.
-	content := p.line(n, strings.Clone(text))
+	// Cloned so that the parsed line does not retain the text of the whole file.
+	content := p.parseLine(n, strings.Clone(text))
 	if p.findings.Len() == before && content != (lineContent{}) {
-		p.set.lines[text] = content
-		p.model(text, content.rule)
+		p.set.parsedLines[text] = content
+		p.addTemplate(text, content.rule)
 	}
 }
 
-// again takes a line that is known, and reports whether it is.
-func (p *parser) again(n int, text string) bool {
-	known, ok := p.known[text]
+// reuseLine adds a line from the previous version at its new position, and reports
+// whether the previous version has that line.
+func (p *parser) reuseLine(n int, text string) bool {
+	known, ok := p.previous[text]
 	switch {
 	case !ok:
 		return false
@@ -99,17 +100,17 @@
 		line := *known.service
 		line.place = finding.At(p.file, n, line.place.Column())
 		p.addService(line.terms.Name(), &line)
-		p.set.lines[text] = lineContent{service: &line}
+		p.set.parsedLines[text] = lineContent{service: &line}
 	default:
 		r := *known.rule
 		r.place = finding.At(p.file, n, r.place.Column())
 		p.add(&r)
-		p.set.lines[text] = lineContent{rule: &r}
+		p.set.parsedLines[text] = lineContent{rule: &r}
 	}
 	return true
 }
 
-func (p *parser) line(n int, text string) lineContent {
+func (p *parser) parseLine(n int, text string) lineContent {
 	node := p.read(n, text)
 	if node == nil {
 		return lineContent{}
@@ -121,14 +122,14 @@
 	return lineContent{rule: p.route(n, node, reason)}
 }
 
-// read returns the parts of a line, or nil if it is blank, a comment, or
-// cannot be read.
+// read returns the syntax tree of a line, or nil if the line is blank, a comment
+// or invalid.
 func (p *parser) read(n int, text string) *lineNode {
 	if !utf8.ValidString(text) {
 		p.fail(n, 1, "the line is not UTF-8", "save the file as UTF-8")
 		return nil
 	}
-	if at := strings.IndexFunc(text, forbidden); at >= 0 {
+	if at := strings.IndexFunc(text, isForbidden); at >= 0 {
 		p.fail(n, utf8.RuneCountInString(text[:at])+1, fmt.Sprintf("the line holds the character %U", text[at]), "a rules file is plain UTF-8 text")
 		return nil
 	}
@@ -138,18 +139,18 @@
 	}
 	node, err := lineParser.ParseString(p.file, text)
 	if err != nil {
-		p.syntax(n, text, err)
+		p.syntaxError(n, text, err)
 		return nil
 	}
 	return node
 }
 
-// forbidden reports control characters other than those of white space.
-func forbidden(c rune) bool { return c < ' ' && c != '\t' && c != '\r' || c == 0x7f }
+// isForbidden reports whether c is a control character other than white space.
+func isForbidden(c rune) bool { return c < ' ' && c != '\t' && c != '\r' || c == 0x7f }
 
 const lineHint = `a line is "service NAME: terms # who: why" or "route NAME [METHODS] [PATH] [when HEADER=VALUE]: terms # who: why"`
 
-func (p *parser) syntax(n int, text string, err error) {
+func (p *parser) syntaxError(n int, text string, err error) {
 	var place participle.Error
 	if !errors.As(err, &place) {
 		p.fail(n, 1, err.Error(), lineHint)
@@ -181,13 +182,13 @@
 	return Reason{who: who, why: why}
 }
 
-// maxServiceName is the longest DNS label (RFC 1035).
+// maxServiceName is the maximum length of a DNS label (RFC 1035).
 const maxServiceName = 63
 
 var serviceName = regexp.MustCompile(`^[a-z]([a-z0-9-]*[a-z0-9])?$`)
 
-// named checks a service's name, which callers use as a DNS label.
-func (p *parser) named(n int, name string, at lexer.Position) {
+// checkServiceName checks a service's name: callers use it as a DNS label.
+func (p *parser) checkServiceName(n int, name string, at lexer.Position) {
 	if len(name) > maxServiceName || !serviceName.MatchString(name) {
 		p.fail(n, at.Column, fmt.Sprintf("%s cannot name a service", name), "use lower-case letters, digits and hyphens, at most 63")
 	}
@@ -195,7 +196,7 @@
 
 func (p *parser) service(n int, node *lineNode, reason Reason) *ServiceLine {
 	name := node.Service.Name
-	p.named(n, name, node.Service.Pos)
+	p.checkServiceName(n, name, node.Service.Pos)
 	line := &ServiceLine{place: finding.At(p.file, n, node.Service.Pos.Column), reason: reason}
 	line.terms = contract.NewService(name, p.serviceTerms(n, node.Terms)...)
 	line.text = formatLine(node)
@@ -208,18 +209,18 @@
 		p.findings.Add(finding.Error, line.place, fmt.Sprintf("service %s already has a line", name), "it is at "+old.place.String())
 		return
 	}
-	p.know(name)
+	p.addServiceName(name)
 	p.set.services[name] = line
 }
 
 func (p *parser) route(n int, node *lineNode, reason Reason) *Rule {
 	name := node.Route.Service
-	p.named(n, name, node.Route.Pos)
+	p.checkServiceName(n, name, node.Route.Pos)
 	r := &Rule{
 		place: finding.At(p.file, n, node.Route.Pos.Column), service: name,
 		methods: p.methods(n, node.Route), reason: reason, text: formatLine(node),
 	}
-	p.at(n, node.Route, r)
+	p.hostRoute(n, node.Route, r)
 	if path := node.Route.Path; path != nil {
 		r.path = path.Text
 		r.pattern = p.pattern(n, path)
@@ -233,19 +234,19 @@
 }
 
 func (p *parser) pattern(n int, node *pathNode) pattern {
-	read, err := parsePattern(node.Text)
+	parsed, err := parsePattern(node.Text)
 	if err != nil {
 		p.fail(n, node.Pos.Column, fmt.Sprintf("path pattern %s: %s", node.Text, err), "")
 	}
-	return read
+	return parsed
 }
 
 func (p *parser) add(r *Rule) {
 	if r.host != "" {
-		p.addAt(r)
+		p.addHostRoute(r)
 		return
 	}
-	p.know(r.service)
+	p.addServiceName(r.service)
 	if len(p.set.routes[r.service]) == MaxRoutes {
 		p.findings.Add(finding.Error, r.place, fmt.Sprintf("service %s has over %d route lines", r.service, MaxRoutes), "join rules with patterns")
 		return
@@ -267,7 +268,7 @@
 	return all
 }
 
-func (p *parser) know(service string) {
+func (p *parser) addServiceName(service string) {
 	if !p.set.HasService(service) {
 		p.set.order = append(p.set.order, service)
 	}
--- a/world/rule/path.go
+++ b/world/rule/path.go
@@ -6,13 +6,13 @@
 )
 
 // pathSegments splits the escaped path of a request into decoded segments.
-// Repeated slashes count as one, as most servers take them. It returns false
-// for a path that servers read in different ways: one with a segment "." or
-// "..", however it is encoded, a backslash, or a NUL. Such a path falls under
-// no rule, lest it reach a handler that another rule protects.
+// Repeated slashes count as one, as in most servers. It returns false for a path
+// that servers interpret differently: one with a segment "." or "..", however
+// encoded, a backslash, or a NUL. Such a path matches no rule; otherwise it could
+// reach a handler that another rule protects.
 //
-// The segments are appended to the given slice, so that the caller can keep
-// them on its stack.
+// The segments are appended to the given slice, which may be on the stack of the
+// calling function.
 func pathSegments(escaped string, segments []string) ([]string, bool) {
 	if escaped == "" || escaped == "*" {
 		return nil, true
@@ -38,7 +38,7 @@
 	segment := part
 	if strings.IndexByte(part, '%') >= 0 {
 		decoded, err := url.PathUnescape(part)
-		if err != nil || ambiguous(decoded) {
+		if err != nil || isAmbiguous(decoded) {
 			return "", false
 		}
 		segment = decoded
@@ -46,14 +46,15 @@
 	if segment == "." || segment == ".." || strings.IndexByte(segment, '\\') >= 0 {
 		return "", false
 	}
-	// A server may drop what follows a semicolon before it resolves "..".
+	// A server may drop parameters after a semicolon before it resolves "..".
 	name, _, parameters := strings.Cut(segment, ";")
 	return segment, !parameters || name != "." && name != ".."
 }
 
-// ambiguous reports whether a decoded segment holds what a server may take for
-// a separator or an end, or is itself still an encoding of one.
-func ambiguous(segment string) bool {
+// isAmbiguous reports whether a decoded segment contains what a server may
+// interpret as a separator or as the end of the path, or is a double encoding of
+// a separator.
+func isAmbiguous(segment string) bool {
 	if strings.ContainsAny(segment, "\\\x00") {
 		return true
 	}
--- a/world/rule/pattern.go
+++ b/world/rule/pattern.go
@@ -9,24 +9,24 @@
 
 // Wildcards of a path pattern.
 const (
-	anySegments   = "**" // as the last segment: any number of further segments
-	anyCharacters = "*"  // within a segment: any characters
+	anySegments   = "**" // as the last segment: matches any number of further segments
+	anyCharacters = "*"  // within a segment: matches any characters
 )
 
 // pattern is a path pattern of a rule. The zero value matches every path.
 type pattern struct {
-	given    bool
-	open     bool          // ends in anySegments
-	segments []patternPart // without the trailing anySegments
+	given     bool
+	anySuffix bool          // ends in anySegments
+	segments  []patternPart // without the trailing anySegments
 }
 
 // patternPart is one segment of a pattern.
 type patternPart struct {
-	text string // decoded
-	wild bool   // holds anyCharacters
+	text     string // decoded
+	wildcard bool   // contains anyCharacters
 }
 
-// parsePattern reads a pattern as it stands in a rules file.
+// parsePattern parses the text of a pattern in a rules file.
 func parsePattern(text string) (pattern, error) {
 	if text == "" {
 		return pattern{}, nil
@@ -37,15 +37,15 @@
 	p := pattern{given: true}
 	parts := strings.Split(text[1:], "/")
 	if parts[len(parts)-1] == anySegments {
-		p.open = true
+		p.anySuffix = true
 		parts = parts[:len(parts)-1]
 	}
 	for n, part := range parts {
-		segment, err := patternSegment(part, n == len(parts)-1 && !p.open)
+		segment, err := patternSegment(part, n == len(parts)-1 && !p.anySuffix)
 		if err != nil {
 			return pattern{}, err
 		}
-		p.segments = append(p.segments, patternPart{text: segment, wild: strings.Contains(segment, anyCharacters)})
+		p.segments = append(p.segments, patternPart{text: segment, wildcard: strings.Contains(segment, anyCharacters)})
 	}
 	return p, nil
 }
@@ -67,8 +67,7 @@
 	return segment, nil
 }
 
-// matches reports whether the segments of a request's path fall under the
-// pattern.
+// matches reports whether the pattern matches the segments of a request's path.
 func (p pattern) matches(segments []string) bool {
 	if !p.given {
 		return true
@@ -76,7 +75,7 @@
 	if segments == nil {
 		return false // OPTIONS *
 	}
-	if p.open {
+	if p.anySuffix {
 		if len(segments) < len(p.segments) {
 			return false
 		}
@@ -94,7 +93,7 @@
 }
 
 func (p patternPart) matches(segment string) bool {
-	if !p.wild {
+	if !p.wildcard {
 		return p.text == segment
 	}
 	return matchSegment(p.text, segment)
@@ -125,16 +124,16 @@
 	}
 }
 
-// covers reports whether every path that falls under the other pattern falls
-// under this one. It may miss some, but never reports one wrongly.
+// covers reports whether this pattern matches every path that the other one
+// matches. It may return false for such a pair, but never returns true wrongly.
 func (p pattern) covers(other pattern) bool {
 	if !p.given {
 		return true
 	}
-	if !other.given || other.open && !p.open || len(other.segments) < len(p.segments) {
+	if !other.given || other.anySuffix && !p.anySuffix || len(other.segments) < len(p.segments) {
 		return false
 	}
-	if !p.open && len(other.segments) != len(p.segments) {
+	if !p.anySuffix && len(other.segments) != len(p.segments) {
 		return false
 	}
 	for n, want := range p.segments {
@@ -155,5 +154,5 @@
 	return !strings.Contains(other, anyCharacters) && matchSegment(want, other)
 }
 
-// equal reports whether both patterns are written alike.
+// equal reports whether the patterns cover each other.
 func (p pattern) equal(other pattern) bool { return p.covers(other) && other.covers(p) }
--- a/world/rule/property_test.go
+++ b/world/rule/property_test.go
@@ -70,14 +70,14 @@
 	return all
 }
 
-// A rule that is reported as out of reach is never the one that matches.
+// A rule that is reported as unreachable, repeated or contradictory never matches.
 func TestNoRequestReachesAShadowedRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set, findings := rule.Parse("rules", drawFile(t))
-		dead := map[string]bool{}
+		unreachable := map[string]bool{}
 		for _, f := range findings.All() {
 			if strings.Contains(f.Text(), "no request reaches") || strings.Contains(f.Text(), "contradicts") || strings.Contains(f.Text(), "repeats") {
-				dead[f.Place().String()] = true
+				unreachable[f.Place().String()] = true
 			}
 		}
 		for range 20 {
@@ -88,7 +88,7 @@
 				header.Set("X-A", rapid.SampledFrom([]string{"1", "a b", "2"}).Draw(t, "value"))
 			}
 			if r := set.Match("a", method, path, header); r != nil {
-				must.False(t, dead[r.Place().String()], must.Sprintf("%s %s reached %s", method, path, r))
+				must.False(t, unreachable[r.Place().String()], must.Sprintf("%s %s reached %s", method, path, r))
 			}
 		}
 	})
@@ -111,19 +111,19 @@
 	})
 }
 
-// Reading a change gives what reading the whole file gives.
-func TestReadChangeGivesTheSame(t *testing.T) {
+// Incremental reading gives the same set and findings as reading the whole file.
+func TestReadIncrementalGivesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, _ := rule.Read("rules", drawFile(t))
 		text := drawFile(t)
 		whole, wholeFindings := rule.Read("rules", text)
-		change, changeFindings := rule.ReadIncremental(before, "rules", text)
-		must.Eq(t, placed(whole), placed(change))
-		must.Eq(t, places(wholeFindings), places(changeFindings))
+		incremental, incrementalFindings := rule.ReadIncremental(before, "rules", text)
+		must.Eq(t, positions(whole), positions(incremental))
+		must.Eq(t, findingTexts(wholeFindings), findingTexts(incrementalFindings))
 	})
 }
 
-func placed(set *rule.Set) []string {
+func positions(set *rule.Set) []string {
 	var all []string
 	for _, name := range set.Services() {
 		if line := set.Service(name); line != nil {
@@ -136,7 +136,7 @@
 	return all
 }
 
-func places(findings finding.List) []string {
+func findingTexts(findings finding.List) []string {
 	var all []string
 	for _, f := range findings.All() {
 		all = append(all, f.String())
--- a/world/rule/rule.go
+++ b/world/rule/rule.go
@@ -1,5 +1,5 @@
-// Package rule reads the operators' rules file: one rule a line, each ending
-// in a comment that names who asked for it and why.
+// Package rule parses the operators' rules file: one rule per line, each ending
+// in a comment that names who requested it and why.
 //
 //	service catalogue: owner "Comptoir", spread 3, probe 1%, backlog 30 for 2s # M. Tremblay: counter lookups
 //	route catalogue GET,HEAD /lookup/**: deadline 300ms, retries 2             # M. Tremblay: a piercer waits
@@ -7,18 +7,18 @@
 //
 //	route catalogue=90,trial=10 at counter.example /lookup/: deadline 300ms     # M. Tremblay: a piercer waits
 //
-// A service line binds a whole service; of the route lines, the first one
-// that matches a request gives its contract.
+// A service line applies to a whole service. The first route line that matches
+// a request determines its contract.
 //
-// A route line with "at" is for requests to a host and below a path prefix,
-// whatever service their callers know of: of the lines of a host, the one with
-// the longest prefix gives the contract, and the service or the services among
-// which requests are divided by weight.
+// A route line with "at" matches requests by HTTP host and path prefix, whatever
+// service the caller names. Of a host's lines, the one with the longest matching
+// prefix determines the contract and the service, or the services among which
+// requests are split by weight.
 //
-// A path pattern matches whole paths, segment by segment: * stands for any
-// characters within a segment, /** at the end for any number of segments, none
-// included. A slash at the end counts. A request path with a segment "." or
-// "..", however encoded, falls under no rule.
+// A path pattern matches whole paths, segment by segment: * matches any
+// characters within a segment, a trailing /** any number of segments, including
+// none. A trailing slash is significant. A request path with a segment "." or
+// "..", however encoded, matches no rule.
 //
 // Usage:
 //
@@ -37,26 +37,26 @@
 	"github.com/snipebeam/snipebeam/world/finding"
 )
 
-// usualSegments is the number of path segments up to which matching allocates
-// nothing.
-const usualSegments = 16
+// stackSegments is the number of path segments that Match keeps on the stack;
+// it allocates only for longer paths.
+const stackSegments = 16
 
-// Bounds of a rules file.
+// Limits of a rules file.
 const (
 	MaxFileBytes = 8 << 20
-	MaxRoutes    = 1000 // of one service
+	MaxRoutes    = 1000 // per service
 )
 
-// Reason says who asked for a rule and why.
+// Reason names who requested a rule and why.
 type Reason struct {
 	who string
 	why string
 }
 
-// Who returns the person or office that asked for the rule.
+// Who returns the person or office that requested the rule.
 func (r Reason) Who() string { return r.who }
 
-// Why returns the reason they gave.
+// Why returns the reason for the rule.
 func (r Reason) Why() string { return r.why }
 
 // Rule is one route line. It is immutable.
@@ -70,12 +70,12 @@
 	contract   *contract.Contract
 	reason     Reason
 	text       string
-	host       string // of requests that name no service, empty for others
-	prefix     string
+	host       string // HTTP host of a route line with "at", else empty
+	prefix     string // path prefix of a route line with "at"
 	shares     []Share
 }
 
-// Share is the part of a rule's requests that goes to a service.
+// Share is a service with its weight in a traffic split.
 type Share struct {
 	service string
 	weight  int
@@ -84,20 +84,21 @@
 // Service returns the service.
 func (s Share) Service() string { return s.service }
 
-// Weight returns the part of the requests, relative to the other shares.
+// Weight returns the weight relative to the rule's other shares.
 func (s Share) Weight() int { return s.weight }
 
-// Host returns the host of requests that name no service, empty for others.
+// Host returns the HTTP host of a route line with "at", or the empty string.
 func (r *Rule) Host() string { return r.host }
 
-// Prefix returns the path prefix of requests that name no service.
+// Prefix returns the path prefix of a route line with "at".
 func (r *Rule) Prefix() string { return r.prefix }
 
-// Shares returns the services among which requests are divided, none if all
-// of them go to one.
+// Shares returns the services among which requests are split by weight, or none
+// if all requests are for one service.
 func (r *Rule) Shares() []Share { return r.shares }
 
-// Services returns the services to which the rule's requests may go.
+// Services returns the services that the rule may send requests to; shares of
+// weight 0 are left out.
 func (r *Rule) Services() []string {
 	if len(r.shares) == 0 {
 		return []string{r.service}
@@ -111,31 +112,31 @@
 	return all
 }
 
-// Place returns where the rule stands.
+// Place returns the rule's position in the file.
 func (r *Rule) Place() finding.Place { return r.place }
 
-// Service returns the service that the rule is for.
+// Service returns the service that the rule applies to.
 func (r *Rule) Service() string { return r.service }
 
-// Methods returns the methods that match, none for all.
+// Methods returns the HTTP methods that match; an empty list matches all.
 func (r *Rule) Methods() []string { return r.methods }
 
-// Path returns the path pattern, empty for all paths.
+// Path returns the path pattern; an empty one matches all paths.
 func (r *Rule) Path() string { return r.path }
 
-// Conditions returns the header conditions, all of which must hold.
+// Conditions returns the header conditions, all of which must match.
 func (r *Rule) Conditions() []Condition { return r.conditions }
 
-// Contract returns what the rule promises.
+// Contract returns the terms that apply to requests that match the rule.
 func (r *Rule) Contract() *contract.Contract { return r.contract }
 
-// Reason returns who asked for the rule and why.
+// Reason returns who requested the rule and why.
 func (r *Rule) Reason() Reason { return r.reason }
 
 // String returns the rule in canonical form.
 func (r *Rule) String() string { return r.text }
 
-// matches reports whether a request of the rule's service falls under it.
+// matches reports whether the rule matches a request for its service.
 func (r *Rule) matches(method string, segments []string, header http.Header) bool {
 	if len(r.methods) > 0 && !slices.Contains(r.methods, method) {
 		return false
@@ -144,7 +145,7 @@
 		return false
 	}
 	for _, c := range r.conditions {
-		if !c.holds(header) {
+		if !c.matches(header) {
 			return false
 		}
 	}
@@ -159,13 +160,13 @@
 	text   string
 }
 
-// Place returns where the line stands.
+// Place returns the line's position in the file.
 func (s *ServiceLine) Place() finding.Place { return s.place }
 
-// Terms returns what binds the whole service.
+// Terms returns the terms that apply to the whole service.
 func (s *ServiceLine) Terms() *contract.Service { return s.terms }
 
-// Reason returns who asked for the line and why.
+// Reason returns who requested the line and why.
 func (s *ServiceLine) Reason() Reason { return s.reason }
 
 // String returns the line in canonical form.
@@ -173,15 +174,15 @@
 
 // Set is the content of a rules file. It is immutable.
 type Set struct {
-	routes   map[string][]*Rule
-	services map[string]*ServiceLine
-	hosts    map[string][]*Rule // by host, the longest prefix first
-	targets  map[string]bool    // services of rules of hosts
-	order    []string
-	lines    map[string]lineContent // lines without findings, by their text
+	routes       map[string][]*Rule
+	services     map[string]*ServiceLine
+	byHost       map[string][]*Rule // by HTTP host, longest prefix first
+	hostServices map[string]bool    // services named by route lines with "at"
+	order        []string
+	parsedLines  map[string]lineContent // lines without findings, by their text
 }
 
-// lineContent is what a line holds: a service line or a rule.
+// lineContent is the parsed content of a line: a service line or a rule.
 type lineContent struct {
 	service *ServiceLine
 	rule    *Rule
@@ -193,7 +194,7 @@
 // Service returns the service line of a service, or nil.
 func (s *Set) Service(name string) *ServiceLine { return s.services[name] }
 
-// Terms returns what binds a service, with defaults if it has no line.
+// Terms returns the terms of a service, or the defaults if it has no line.
 func (s *Set) Terms(name string) *contract.Service {
 	if line := s.services[name]; line != nil {
 		return line.terms
@@ -206,16 +207,16 @@
 
 // HasService reports whether any line names the service.
 func (s *Set) HasService(service string) bool {
-	return s.services[service] != nil || len(s.routes[service]) > 0 || s.targets[service]
+	return s.services[service] != nil || len(s.routes[service]) > 0 || s.hostServices[service]
 }
 
-// HasHost reports whether any rule is for requests to a host.
-func (s *Set) HasHost(host string) bool { return len(s.hosts[host]) > 0 }
+// HasHost reports whether any rule matches requests to an HTTP host.
+func (s *Set) HasHost(host string) bool { return len(s.byHost[host]) > 0 }
 
-// MatchHost returns the rule of a host with the longest prefix of a path, or nil. The
-// path is escaped, as it stands in the request.
+// MatchHost returns the host's rule with the longest prefix that matches a path,
+// or nil. The path is escaped, as in the request line.
 func (s *Set) MatchHost(host, escapedPath string) *Rule {
-	for _, r := range s.hosts[host] {
+	for _, r := range s.byHost[host] {
 		if strings.HasPrefix(escapedPath, r.prefix) {
 			return r
 		}
@@ -223,15 +224,15 @@
 	return nil
 }
 
-// Bulk reports whether requests to a host may have large bodies.
+// Bulk reports whether any rule of an HTTP host expects large bodies.
 func (s *Set) Bulk(host string) bool {
-	return slices.ContainsFunc(s.hosts[host], func(r *Rule) bool { return r.Contract().Bulk() })
+	return slices.ContainsFunc(s.byHost[host], func(r *Rule) bool { return r.Contract().Bulk() })
 }
 
-// LinkedServices returns the services to which requests to a host may go, and those
-// that share a host with any of them, and so on, in order. Entry hosts that
-// serve all of them know all requests for each. There are none if no rule is
-// for the host.
+// LinkedServices returns the services that requests to a host may be sent to, and
+// transitively those that share a host with any of them, sorted. Entry hosts that
+// serve all of these see every request for each of them. It returns none if no
+// rule names the host.
 func (s *Set) LinkedServices(host string) []string {
 	if !s.HasHost(host) {
 		return nil
@@ -239,16 +240,16 @@
 	services, hosts := map[string]bool{}, map[string]bool{host: true}
 	for grown := true; grown; {
 		grown = false
-		for name, rules := range s.hosts {
-			grown = join(name, rules, services, hosts) || grown
+		for name, rules := range s.byHost {
+			grown = addLinked(name, rules, services, hosts) || grown
 		}
 	}
 	return slices.Sorted(maps.Keys(services))
 }
 
-// join adds a host and its services if it shares anything with those that are
-// known, and reports whether that added anything.
-func join(name string, rules []*Rule, services, hosts map[string]bool) bool {
+// addLinked adds a host and its services if the host or one of its services is
+// already in the sets, and reports whether the sets grew.
+func addLinked(name string, rules []*Rule, services, hosts map[string]bool) bool {
 	linked := hosts[name]
 	for _, r := range rules {
 		for _, service := range r.Services() {
@@ -268,11 +269,11 @@
 	return len(services)+len(hosts) > before
 }
 
-// Match returns the first rule that a request falls under, or nil. The path is
-// escaped, as it stands in the request.
+// Match returns the first rule that matches a request, or nil. The path is
+// escaped, as in the request line.
 func (s *Set) Match(service, method, escapedPath string, header http.Header) *Rule {
-	var kept [usualSegments]string
-	segments, ok := pathSegments(escapedPath, kept[:0])
+	var buffer [stackSegments]string
+	segments, ok := pathSegments(escapedPath, buffer[:0])
 	if !ok {
 		return nil
 	}
--- a/world/rule/rule_test.go
+++ b/world/rule/rule_test.go
@@ -7,7 +7,7 @@
 	"github.com/snipebeam/snipebeam/world/rule"
 )
 
-func TestParseReportsEveryMistakeWithItsPlace(t *testing.T) {
+func TestParseReportsEveryMistakeWithItsPosition(t *testing.T) {
 	text := `service catalogue: owner "Comptoir", probe 1 # Marie: lookups
 route catalogue GET /lookup/**: deadline 300, retries 2 # Marie: a piercer waits
 route catalogue FETCH /x: deadlin 2s # Marie: typo
--- a/world/rule/alike_test.go
+++ b/world/rule/template_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestALineReadFromOneLikeItIsWhatTheGrammarReads holds lines that differ from an
-// earlier one in host, prefix and comment to the same lines read alone.
-func TestALineReadFromOneLikeItIsWhatTheGrammarReads(t *testing.T) {
+// TestTemplatesGiveTheSameRulesAsTheGrammar compares rules copied from the template
+// of an earlier line with the rules that the grammar gives for the same lines alone.
+func TestTemplatesGiveTheSameRulesAsTheGrammar(t *testing.T) {
 	heads := []string{"route shop", "route shop=90,trial=10", "route  pay", "route pay"}
 	terms := []string{"deadline 1s, attempts 2", "deadline 1s , single", "single, bulk", "callerLimit 3", "deadline 1s"}
 	hosts := []string{"a.example", "B.example", `"c.example"`, "9bad", "a:b"}
@@ -29,14 +29,14 @@
 		together, findings := rule.Read("rules", strings.Join(all, "\n"))
 		failed := 0
 		for at, line := range all {
-			alone, own := rule.Read("rules", strings.Repeat("\n", at)+line)
-			failed += own.Len()
+			alone, aloneFindings := rule.Read("rules", strings.Repeat("\n", at)+line)
+			failed += aloneFindings.Len()
 			for _, host := range []string{"a.example", "b.example", "c.example"} {
 				for _, path := range prefixes {
 					r := alone.MatchHost(host, path+"z")
 					other := together.MatchHost(host, path+"z")
 					if r == nil || other == nil || other.Place() != r.Place() {
-						continue // a line before it has the same prefix
+						continue // an earlier line has the same prefix
 					}
 					must.Eq(t, r.String(), other.String())
 					must.Eq(t, r.Reason(), other.Reason())
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestRoutesWithLimitsOfCallersDoNotShareThem(t *testing.T) {
+func TestRoutesWithCallerLimitsDoNotShareContracts(t *testing.T) {
 	set, findings := rule.Read("rules", "route a at a.example /x/: callerLimit 3 # M: y\nroute a at a.example /y/: callerLimit 3 # M: y")
 	must.Zero(t, findings.Len())
 	must.False(t, set.MatchHost("a.example", "/x/1").Contract() == set.MatchHost("a.example", "/y/1").Contract())
--- a/world/rule/term.go
+++ b/world/rule/term.go
@@ -9,10 +9,10 @@
 	"github.com/snipebeam/snipebeam/world/contract"
 )
 
-// maxNearestDistance is the number of edits up to which a name is suggested.
+// maxNearestDistance is the largest edit distance at which a name is suggested.
 const maxNearestDistance = 3
 
-// Largest values that a term may have.
+// Upper limits of the values of terms.
 const (
 	maxRetries  = 10
 	maxCount    = 1_000_000
@@ -26,7 +26,7 @@
 	"deadline": func(v *values) contract.Option { return contract.WithDeadline(v.duration(maxDeadline)) },
 	"retries":  func(v *values) contract.Option { return contract.WithRetries(v.count(maxRetries)) },
 	"once": func(v *values) contract.Option {
-		return contract.WithOnce(v.optionalWord(contract.DefaultOnceHeader))
+		return contract.WithOnce(v.optionalName(contract.DefaultOnceHeader))
 	},
 	"single":   func(*values) contract.Option { return contract.WithSingle() },
 	"bulk":     func(*values) contract.Option { return contract.WithBulk() },
@@ -49,7 +49,7 @@
 type serviceTerm func(v *values) contract.ServiceOption
 
 var serviceTermByName = map[string]serviceTerm{
-	"owner": func(v *values) contract.ServiceOption { return contract.WithOwner(v.word()) },
+	"owner": func(v *values) contract.ServiceOption { return contract.WithOwner(v.name()) },
 	"probe": func(v *values) contract.ServiceOption { return contract.WithProbeBudget(v.percent()) },
 	"backlog": func(v *values) contract.ServiceOption {
 		count := v.count(maxCount)
@@ -64,8 +64,8 @@
 		v.keyword("per")
 		return contract.WithRetryAllowance(count, v.duration(maxDeadline))
 	},
-	"health": func(v *values) contract.ServiceOption { return contract.WithHealth(v.word()) },
-	"policy": func(v *values) contract.ServiceOption { return contract.WithPolicy(v.word()) },
+	"health": func(v *values) contract.ServiceOption { return contract.WithHealth(v.name()) },
+	"policy": func(v *values) contract.ServiceOption { return contract.WithPolicy(v.name()) },
 	"retryBudget": func(v *values) contract.ServiceOption {
 		return contract.WithRetryBudget(v.percent())
 	},
@@ -75,7 +75,7 @@
 	"callerRate": func(v *values) contract.ServiceOption { return contract.WithEachCallerRate(v.rate()) },
 }
 
-// Terms returns the names of all terms, in order.
+// Terms returns the names of all terms, sorted.
 func Terms() []string {
 	all := append(names(routeTermByName), names(serviceTermByName)...)
 	slices.Sort(all)
@@ -90,12 +90,12 @@
 	return readTerms(p, line, nodes, serviceTermByName)
 }
 
-// readTerms reads the terms of a line, of which each may stand once.
+// readTerms parses the terms of a line, each of which may occur once.
 func readTerms[O any, F ~func(*values) O](p *parser, line int, nodes []*termNode, known map[string]F) []O {
 	var opts []O
 	seen := map[string]bool{}
 	for _, node := range nodes {
-		read, ok := known[node.Name]
+		parse, ok := known[node.Name]
 		if !ok {
 			p.fail(line, node.Pos.Column, fmt.Sprintf("there is no term %s here", node.Name), nearestHint(node.Name, names(known)))
 			continue
@@ -106,8 +106,8 @@
 		}
 		seen[node.Name] = true
 		v := &values{parser: p, line: line, term: node}
-		opt := read(v)
-		v.end()
+		opt := parse(v)
+		v.expectEnd()
 		opts = append(opts, opt)
 	}
 	return opts
@@ -121,7 +121,8 @@
 	return all
 }
 
-// nearestHint suggests the known name that is closest to a misspelt one.
+// nearestHint suggests the known name with the smallest edit distance to a
+// misspelt one, or returns an empty string if none is close.
 func nearestHint(name string, known []string) string {
 	best, bestDistance := "", maxNearestDistance+1
 	for _, candidate := range known {
--- a/world/rule/value.go
+++ b/world/rule/value.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// values reads the values of one term from left to right.
+// values parses the values of one term from left to right.
 type values struct {
 	parser *parser
 	line   int
@@ -24,7 +24,7 @@
 	v.parser.fail(v.line, column, fmt.Sprintf("%s: %s", v.term.Name, text), hint)
 }
 
-func (v *values) take(what string) (string, bool) {
+func (v *values) nextValue(what string) (string, bool) {
 	if v.next >= len(v.term.Values) {
 		v.next = len(v.term.Values)
 		v.fail("needs "+what, "")
@@ -34,84 +34,84 @@
 	return unquote(v.term.Values[v.next-1].Text), true
 }
 
-func (v *values) end() {
+func (v *values) expectEnd() {
 	if v.next < len(v.term.Values) {
 		v.next++
 		v.fail("has a value too many: "+v.term.Values[v.next-1].Text, "separate terms with a comma")
 	}
 }
 
-func (v *values) word() string {
-	text, ok := v.take("a name")
+func (v *values) name() string {
+	text, ok := v.nextValue("a name")
 	if ok && text == "" {
 		v.fail("the name is empty", "")
 	}
 	return text
 }
 
-func (v *values) optionalWord(otherwise string) string {
+func (v *values) optionalName(otherwise string) string {
 	if v.next >= len(v.term.Values) {
 		return otherwise
 	}
-	return v.word()
+	return v.name()
 }
 
 func (v *values) keyword(want string) {
-	if text, ok := v.take(want); ok && text != want {
+	if text, ok := v.nextValue(want); ok && text != want {
 		v.fail(fmt.Sprintf("has %s where %s belongs", text, want), "")
 	}
 }
 
-func (v *values) choice(words ...string) int {
-	text, ok := v.take("one of " + strings.Join(words, ", "))
+func (v *values) choice(options ...string) int {
+	text, ok := v.nextValue("one of " + strings.Join(options, ", "))
 	if !ok {
 		return 0
 	}
-	for n, w := range words {
-		if text == w {
+	for n, option := range options {
+		if text == option {
 			return n
 		}
 	}
-	v.fail(text+" is none of "+strings.Join(words, ", "), nearestHint(text, words))
+	v.fail(text+" is none of "+strings.Join(options, ", "), nearestHint(text, options))
 	return 0
 }
 
-func (v *values) duration(most time.Duration) time.Duration {
-	text, ok := v.take("a time such as 300ms")
+func (v *values) duration(limit time.Duration) time.Duration {
+	text, ok := v.nextValue("a time such as 300ms")
 	if !ok {
-		return most
+		return limit
 	}
 	if _, err := strconv.ParseFloat(text, 64); err == nil {
 		v.fail(text+" has no unit", "write "+text+"ms or "+text+"s")
-		return most
+		return limit
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
 		v.fail(text+" is not a time", "write it as 300ms, 2s or 10m")
-		return most
+		return limit
 	}
-	if d > most {
-		v.fail(text+" is over the most, "+most.String(), "")
-		return most
+	if d > limit {
+		v.fail(text+" is over the most, "+limit.String(), "")
+		return limit
 	}
 	return d
 }
 
-func (v *values) count(most int) int {
-	text, ok := v.take("a number")
+func (v *values) count(limit int) int {
+	text, ok := v.nextValue("a number")
 	if !ok {
 		return 0
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 0 || n > most {
-		v.fail(fmt.Sprintf("%s is not a whole number from 0 to %d", text, most), "")
+	if err != nil || n < 0 || n > limit {
+		v.fail(fmt.Sprintf("%s is not a whole number from 0 to %d", text, limit), "")
 		return 0
 	}
 	return n
 }
 
 func (v *values) percent() float64 {
-	text, ok := v.take("a share such as 1%")
+	text, ok := v.nextValue("a share such as 1%")
 	if !ok {
 		return 0
 	}
@@ -129,7 +129,7 @@
 }
 
 func (v *values) rate() float64 {
-	text, ok := v.take("a rate such as 50/s")
+	text, ok := v.nextValue("a rate such as 50/s")
 	if !ok {
 		return 0
 	}
@@ -152,7 +152,7 @@
 }{{"GB", 1e9}, {"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
 func (v *values) bytes() int64 {
-	text, ok := v.take("a size such as 20MB")
+	text, ok := v.nextValue("a size such as 20MB")
 	if !ok {
 		return 0
 	}
--- a/world/wire/wire.twirp.go
+++ b/world/wire/wire.twirp.go
@@ -36,14 +36,14 @@
 	// Submit proposes a new rules file on top of a base version.
 	Submit(context.Context, *SubmitRequest) (*SubmitResponse, error)
 
-	// Read returns one version; without a quorum the answer is marked stale.
+	// Read returns one version; without a quorum the response is marked stale.
 	Read(context.Context, *ReadRequest) (*ReadResponse, error)
 
 	// History lists accepted versions, newest first.
 	History(context.Context, *HistoryRequest) (*HistoryResponse, error)
 
 	// Watch is an entry host's long poll: it reports the host's state and
-	// returns as soon as a version newer than the known one is in force.
+	// returns when a version newer than the host's is in force.
 	Watch(context.Context, *WatchRequest) (*WatchResponse, error)
 
 	// Status describes the control group and the hosts that report to it.
@@ -4037,17 +4037,19 @@
 type Quorum interface {
 	Step(context.Context, *StepRequest) (*StepResponse, error)
 
-	// Hello tells who answers at an address and which group it belongs to.
+	// Hello returns the name, the identity and the group of the replica at an
+	// address.
 	Hello(context.Context, *HelloRequest) (*HelloResponse, error)
 
-	// Forward proposes a command at the leader.
+	// Forward proposes a command to the leader.
 	Forward(context.Context, *ForwardRequest) (*ForwardResponse, error)
 
-	// ReadIndex returns the index that a current read must have applied.
+	// ReadIndex returns the index up to which entries must be applied before a
+	// linearizable read.
 	ReadIndex(context.Context, *ReadIndexRequest) (*ReadIndexResponse, error)
 
-	// Join asks that a replica be taken into the group; a follower names the
-	// leader.
+	// Join requests that a replica be added to the group; a follower returns the
+	// leader's address.
 	Join(context.Context, *JoinRequest) (*JoinResponse, error)
 }
 
@@ -7541,12 +7543,12 @@
 
 // Peer is served by each entry host to the other entry hosts.
 type Peer interface {
-	// Announce passes on changes of instances; the answer carries what the
-	// sender did not know.
+	// Announce exchanges records of instances: the response has those that the
+	// sender lacks.
 	Announce(context.Context, *AnnounceRequest) (*AnnounceResponse, error)
 
-	// Suspects shares fingerprints of requests that were in flight when an
-	// instance died.
+	// Suspects exchanges fingerprints of requests that were in flight when an
+	// instance crashed.
 	Suspects(context.Context, *SuspectsRequest) (*SuspectsResponse, error)
 }
 
