--- a/control/command/backup.go
+++ b/control/command/backup.go
@@ -32,14 +32,14 @@
 	if err != nil {
 		return err
 	}
-	if err := writeNew(c.File, data); err != nil {
+	if err := createFile(c.File, data); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%s holds the state up to entry %d of term %d\n", c.File, last.GetIndex(), last.GetTerm())
 	return nil
 }
 
-func writeNew(path string, data []byte) error {
+func createFile(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "create backup")
--- a/control/command/inspect.go
+++ b/control/command/inspect.go
@@ -30,12 +30,12 @@
 }
 
 func printReplica(w io.Writer, c *disk.Contents, last *wire.LogSnapshot) {
-	saved := c.Saved()
+	saved := c.PersistentState()
 	fmt.Fprintf(w, "name           %s\n", c.Identity().GetName())
 	fmt.Fprintf(w, "identity       %s\n", c.Identity().GetIdentity())
-	fmt.Fprintf(w, "group          %s\n", orNone(c.Identity().GetGroup()))
+	fmt.Fprintf(w, "group          %s\n", orDash(c.Identity().GetGroup()))
 	fmt.Fprintf(w, "term           %d\n", saved.Vote.GetTerm())
-	fmt.Fprintf(w, "voted for      %s\n", orNone(saved.Vote.GetVote()))
+	fmt.Fprintf(w, "voted for      %s\n", orDash(saved.Vote.GetVote()))
 	fmt.Fprintf(w, "snapshot       index %d, term %d, %d bytes\n", saved.Snapshot.GetIndex(), saved.Snapshot.GetTerm(), len(saved.Snapshot.GetState()))
 	fmt.Fprintf(w, "log            %d files, %d records, %d entries after the snapshot\n", len(c.Segments()), c.Records(), len(saved.Entries))
 	fmt.Fprintf(w, "last entry     index %d, term %d\n", last.GetIndex(), last.GetTerm())
@@ -47,7 +47,7 @@
 func printState(w io.Writer, machine *state.Machine) {
 	version, _ := machine.InForce()
 	held, unknown := machine.CountClaims()
-	fmt.Fprintf(w, "newest version %d %s by %s: %s\n", version.GetNumber(), orNone(version.GetDigest()), orNone(version.GetAuthor()), orNone(version.GetReason()))
+	fmt.Fprintf(w, "newest version %d %s by %s: %s\n", version.GetNumber(), orDash(version.GetDigest()), orDash(version.GetAuthor()), orDash(version.GetReason()))
 	fmt.Fprintf(w, "claims         %d held, %d unknown\n", held, unknown)
 }
 
@@ -61,7 +61,7 @@
 	return members
 }
 
-func orNone(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/control/disk/load.go
+++ b/control/disk/load.go
@@ -7,23 +7,23 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Damage is a place in a file that cannot be read and is no torn tail.
-type Damage struct {
+// CorruptionError is a place in a file that cannot be read and is no torn tail.
+type CorruptionError struct {
 	file   string
 	offset int
 	reason string
 }
 
 // Error names file and offset.
-func (d *Damage) Error() string {
+func (d *CorruptionError) Error() string {
 	return errors.Errorf("file %s is damaged at offset %d: %s", d.file, d.offset, d.reason).Error()
 }
 
 // File returns the damaged file's name.
-func (d *Damage) File() string { return d.file }
+func (d *CorruptionError) File() string { return d.file }
 
 // Offset returns the offset of the damage.
-func (d *Damage) Offset() int { return d.offset }
+func (d *CorruptionError) Offset() int { return d.offset }
 
 // replay collects what the records of the log say.
 type replay struct {
@@ -49,7 +49,7 @@
 	if err := s.loadSegments(r, repair); err != nil {
 		return quorum.PersistentState{}, err
 	}
-	entries, err := r.after(snapshot)
+	entries, err := r.entriesAfter(snapshot)
 	if err != nil {
 		return quorum.PersistentState{}, err
 	}
@@ -74,7 +74,7 @@
 	}
 	r, ok := parseRecord(data)
 	if !ok {
-		return &Damage{file: identityName, reason: "the checksum does not fit"}
+		return &CorruptionError{file: identityName, reason: "the checksum does not fit"}
 	}
 	identity := &wire.ReplicaIdentity{}
 	if err := proto.Unmarshal(r.payload, identity); err != nil {
@@ -90,7 +90,7 @@
 		return errors.Wrap(err, "list data folder")
 	}
 	for _, name := range names {
-		if first, ok := numbered(name, segmentPrefix); ok {
+		if first, ok := parseNumbered(name, segmentPrefix); ok {
 			s.segments = append(s.segments, segment{name: name, first: first})
 		}
 	}
@@ -111,7 +111,7 @@
 func (s *Store) loadSegment(r *replay, n int, repair bool) error {
 	one := &s.segments[n]
 	if one.first != s.sequence+1 {
-		return &Damage{file: one.name, reason: errors.Errorf("record %d should come first: a segment is missing", s.sequence+1).Error()}
+		return &CorruptionError{file: one.name, reason: errors.Errorf("record %d should come first: a segment is missing", s.sequence+1).Error()}
 	}
 	data, err := s.readFile(one.name)
 	if err != nil {
@@ -124,27 +124,27 @@
 		if !ok || rec.sequence != s.sequence+1 {
 			break
 		}
-		if err := r.take(rec); err != nil {
-			return &Damage{file: one.name, offset: offset, reason: err.Error()}
+		if err := r.apply(rec); err != nil {
+			return &CorruptionError{file: one.name, offset: offset, reason: err.Error()}
 		}
 		s.sequence = rec.sequence
-		offset += rec.size()
+		offset += rec.encodedSize()
 	}
 	one.lastIndex = r.lastIndex(s.segments[:n])
 	s.size = int64(offset)
 	if offset == len(data) && (offset > 0 || last) {
 		return nil
 	}
-	if at, found := laterRecord(data, offset, s.sequence); found {
-		return &Damage{file: one.name, offset: offset, reason: errors.Errorf("a whole record follows at offset %d", at).Error()}
+	if at, found := findLaterRecord(data, offset, s.sequence); found {
+		return &CorruptionError{file: one.name, offset: offset, reason: errors.Errorf("a whole record follows at offset %d", at).Error()}
 	}
 	if !last {
-		return &Damage{file: one.name, offset: offset, reason: "segments follow"}
+		return &CorruptionError{file: one.name, offset: offset, reason: "segments follow"}
 	}
-	return s.cutTail(one.name, int64(offset), repair)
+	return s.truncateTail(one.name, int64(offset), repair)
 }
 
-func (s *Store) cutTail(name string, size int64, repair bool) error {
+func (s *Store) truncateTail(name string, size int64, repair bool) error {
 	if !repair {
 		return nil
 	}
@@ -181,7 +181,7 @@
 	return errors.Wrap(err, "open "+last.name)
 }
 
-func (r *replay) take(rec record) error {
+func (r *replay) apply(rec record) error {
 	switch rec.kind {
 	case kindVote:
 		r.vote = &wire.SavedVote{}
@@ -194,12 +194,12 @@
 		if err := proto.Unmarshal(rec.payload, e); err != nil {
 			return err
 		}
-		return r.takeEntry(e)
+		return r.applyEntry(e)
 	}
 	return errors.Errorf("record %d has the unknown kind %d", rec.sequence, rec.kind)
 }
 
-func (r *replay) takeEntry(e *wire.LogEntry) error {
+func (r *replay) applyEntry(e *wire.LogEntry) error {
 	if len(r.entries) == 0 {
 		r.entries = append(r.entries, e)
 		return nil
@@ -228,8 +228,8 @@
 	return last
 }
 
-// after returns the entries that follow a snapshot.
-func (r *replay) after(snapshot *wire.LogSnapshot) ([]*wire.LogEntry, error) {
+// entriesAfter returns the entries that follow a snapshot.
+func (r *replay) entriesAfter(snapshot *wire.LogSnapshot) ([]*wire.LogEntry, error) {
 	if len(r.entries) == 0 {
 		return nil, nil
 	}
--- a/control/disk/memory/file.go
+++ b/control/disk/memory/file.go
@@ -12,7 +12,7 @@
 
 type file struct {
 	folder  *Folder
-	content *content
+	content *fileContent
 	read    int
 	crashes int
 }
@@ -40,12 +40,12 @@
 		return 0, f.folder.writeErr
 	}
 	n := len(p)
-	if f.folder.room >= 0 && n > f.folder.room {
-		n = f.folder.room
+	if f.folder.freeBytes >= 0 && n > f.folder.freeBytes {
+		n = f.folder.freeBytes
 	}
 	f.content.data = append(f.content.data, p[:n]...)
-	if f.folder.room >= 0 {
-		f.folder.room -= n
+	if f.folder.freeBytes >= 0 {
+		f.folder.freeBytes -= n
 	}
 	if n < len(p) {
 		return n, errors.New("no space left on device")
--- a/control/disk/memory/memory.go
+++ b/control/disk/memory/memory.go
@@ -20,25 +20,25 @@
 
 // Folder is a data folder in memory.
 type Folder struct {
-	mu       sync.Mutex
-	names    map[string]*content // as the process sees them
-	durable  map[string]*content // as they are after a crash
-	locked   bool
-	crashes  int
-	writeErr error
-	syncErr  error
-	room     int // bytes until the disk is full, negative without limit
-}
-
-// content is one file.
-type content struct {
+	mu        sync.Mutex
+	names     map[string]*fileContent // as the process sees them
+	durable   map[string]*fileContent // as they are after a crash
+	locked    bool
+	crashes   int
+	writeErr  error
+	syncErr   error
+	freeBytes int // bytes until the disk is full, negative without limit
+}
+
+// fileContent is one file.
+type fileContent struct {
 	data   []byte
 	synced []byte
 }
 
 // New returns an empty folder.
 func New() *Folder {
-	return &Folder{names: map[string]*content{}, durable: map[string]*content{}, room: -1}
+	return &Folder{names: map[string]*fileContent{}, durable: map[string]*fileContent{}, freeBytes: -1}
 }
 
 // Crash forgets what was not synced. Of the bytes appended to a file since its
@@ -66,11 +66,11 @@
 // FailSyncs makes each further sync fail.
 func (f *Folder) FailSyncs(err error) { f.mu.Lock(); f.syncErr = err; f.mu.Unlock() }
 
-// SetRoom sets how many bytes can still be written.
-func (f *Folder) SetRoom(bytes int) { f.mu.Lock(); f.room = bytes; f.mu.Unlock() }
+// SetFreeSpace sets how many bytes can still be written.
+func (f *Folder) SetFreeSpace(bytes int) { f.mu.Lock(); f.freeBytes = bytes; f.mu.Unlock() }
 
-// Damage flips the bits of one byte of a file.
-func (f *Folder) Damage(name string, offset int) {
+// Corrupt flips the bits of one byte of a file.
+func (f *Folder) Corrupt(name string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.names[name]
@@ -129,7 +129,7 @@
 	if f.writeErr != nil {
 		return nil, f.writeErr
 	}
-	c := &content{}
+	c := &fileContent{}
 	f.names[name] = c
 	return &file{folder: f, content: c, crashes: f.crashes}, nil
 }
@@ -188,6 +188,6 @@
 func (f *Folder) Put(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.names[name] = &content{data: slices.Clone(data), synced: slices.Clone(data)}
+	f.names[name] = &fileContent{data: slices.Clone(data), synced: slices.Clone(data)}
 	f.durable[name] = f.names[name]
 }
--- a/control/disk/record.go
+++ b/control/disk/record.go
@@ -28,18 +28,18 @@
 	payload  []byte
 }
 
-func (r record) size() int { return headerBytes + len(r.payload) }
+func (r record) encodedSize() int { return headerBytes + len(r.payload) }
 
 func appendRecord(buf []byte, r record) []byte {
 	start := len(buf)
 	buf = append(buf, make([]byte, headerBytes)...)
 	buf = append(buf, r.payload...)
-	sealRecord(buf[start:], r.sequence, r.kind)
+	putHeader(buf[start:], r.sequence, r.kind)
 	return buf
 }
 
-// sealRecord fills in the header before a payload.
-func sealRecord(raw []byte, sequence uint64, k kind) []byte {
+// putHeader fills in the header before a payload.
+func putHeader(raw []byte, sequence uint64, k kind) []byte {
 	binary.LittleEndian.PutUint32(raw, uint32(len(raw)-headerBytes))
 	binary.LittleEndian.PutUint64(raw[8:], sequence)
 	raw[16] = byte(k)
@@ -73,9 +73,9 @@
 	}, true
 }
 
-// laterRecord looks for a whole record behind a damaged place and returns its
+// findLaterRecord looks for a whole record behind a damaged place and returns its
 // offset. Such a record shows that the damage is no torn tail.
-func laterRecord(data []byte, from int, sequence uint64) (int, bool) {
+func findLaterRecord(data []byte, from int, sequence uint64) (int, bool) {
 	for at := from + 1; at+headerBytes <= len(data); at++ {
 		if binary.LittleEndian.Uint64(data[at+8:])-sequence > uint64(len(data)) {
 			continue
--- a/control/disk/segment.go
+++ b/control/disk/segment.go
@@ -11,11 +11,11 @@
 
 // Names of the files of a data folder.
 const (
-	lockName       = "lock"
-	identityName   = "identity"
-	segmentPrefix  = "log-"
-	snapshotPrefix = "snapshot-"
-	temporary      = ".tmp"
+	lockName        = "lock"
+	identityName    = "identity"
+	segmentPrefix   = "log-"
+	snapshotPrefix  = "snapshot-"
+	temporarySuffix = ".tmp"
 )
 
 // segment is one file of the log.
@@ -27,7 +27,7 @@
 
 func segmentName(sequence uint64) string { return fmt.Sprintf("%s%016x", segmentPrefix, sequence) }
 
-func numbered(name, prefix string) (uint64, bool) {
+func parseNumbered(name, prefix string) (uint64, bool) {
 	if !strings.HasPrefix(name, prefix) {
 		return 0, false
 	}
@@ -107,7 +107,7 @@
 
 // replaceFile writes a whole file so that a crash leaves the old or the new.
 func (s *Store) replaceFile(name string, data []byte) error {
-	file, err := s.folder.Create(name + temporary)
+	file, err := s.folder.Create(name + temporarySuffix)
 	if err != nil {
 		return errors.Wrap(err, "create "+name)
 	}
@@ -119,7 +119,7 @@
 		err = closed
 	}
 	if err == nil {
-		err = s.folder.Rename(name+temporary, name)
+		err = s.folder.Rename(name+temporarySuffix, name)
 	}
 	if err == nil {
 		err = s.folder.Sync()
--- a/control/disk/snapshot.go
+++ b/control/disk/snapshot.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode snapshot")
 	}
-	return sealRecord(buf, snapshot.GetIndex(), 0), nil
+	return putHeader(buf, snapshot.GetIndex(), 0), nil
 }
 
 // DecodeSnapshot reads the content of a snapshot file.
@@ -81,7 +81,7 @@
 	}
 	var indexes []uint64
 	for _, name := range names {
-		if index, ok := numbered(name, snapshotPrefix); ok {
+		if index, ok := parseNumbered(name, snapshotPrefix); ok {
 			indexes = append(indexes, index)
 		}
 	}
@@ -110,7 +110,7 @@
 		return errors.Wrap(err, "list data folder")
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name, temporary) {
+		if !strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
 		if err := s.folder.Remove(name); err != nil {
--- a/control/prometheus/prometheus.go
+++ b/control/prometheus/prometheus.go
@@ -39,7 +39,7 @@
 // those of the process.
 func (e *Exporter) Write(w io.Writer) {
 	status := e.log.Status()
-	metrics.WriteGaugeUint64(w, "snipebeam_quorum", flag(status.Quorum()))
+	metrics.WriteGaugeUint64(w, "snipebeam_quorum", boolValue(status.Quorum()))
 	metrics.WriteGaugeUint64(w, "snipebeam_term", status.Term())
 	metrics.WriteCounterUint64(w, "snipebeam_commit_index", status.CommitIndex())
 	version, _ := e.machine.InForce()
@@ -56,7 +56,7 @@
 
 func writeMember(w io.Writer, m *wire.Member) {
 	label := fmt.Sprintf(`{member=%q,role=%q}`, m.GetName(), m.GetRole())
-	metrics.WriteGaugeUint64(w, "snipebeam_member_reachable"+label, flag(m.GetReachable()))
+	metrics.WriteGaugeUint64(w, "snipebeam_member_reachable"+label, boolValue(m.GetReachable()))
 	metrics.WriteGaugeUint64(w, "snipebeam_member_match_index"+label, m.GetMatchIndex())
 }
 
@@ -76,7 +76,7 @@
 	metrics.WriteGaugeUint64(w, "snipebeam_hosts_behind", behind)
 }
 
-func flag(set bool) uint64 {
+func boolValue(set bool) uint64 {
 	if set {
 		return 1
 	}
--- a/control/schedule/attempt.go
+++ b/control/schedule/attempt.go
@@ -10,12 +10,12 @@
 // Operation is one request of a client with what the client saw. A request
 // whose outcome is not known has no end.
 type Operation struct {
-	start   int
-	end     int
-	certain bool
-	cmd     *wire.Command
-	result  *wire.Result
-	version uint64
+	start     int
+	end       int
+	completed bool
+	cmd       *wire.Command
+	result    *wire.Result
+	version   uint64
 }
 
 // Start returns when the request was sent.
@@ -24,8 +24,8 @@
 // End returns when the answer came.
 func (o Operation) End() int { return o.end }
 
-// Certain reports whether an answer came.
-func (o Operation) Certain() bool { return o.certain }
+// Completed reports whether an answer came.
+func (o Operation) Completed() bool { return o.completed }
 
 // Command returns the request, nil for a confirmed read.
 func (o Operation) Command() *wire.Command { return o.cmd }
@@ -38,25 +38,25 @@
 
 // attempt is one sending of a request.
 type attempt struct {
-	cmd       *wire.Command
-	term      uint64
-	started   int
-	running   bool
-	finished  bool
-	abandoned bool
-	floor     uint64 // newest version that was accepted before a read
-	then      func(result *wire.Result)
-	lost      func()
-	result    *wire.Result
+	cmd        *wire.Command
+	term       uint64
+	started    int
+	running    bool
+	finished   bool
+	abandoned  bool
+	minVersion uint64 // newest version that was accepted before a read
+	onResult   func(result *wire.Result)
+	onUnknown  func()
+	result     *wire.Result
 }
 
 // start proposes at a host that believes it leads.
-func (a *attempt) start(w *World, h *host) {
+func (a *attempt) start(sim *Simulation, h *host) {
 	data, err := proto.Marshal(a.cmd)
 	if err != nil {
 		panic("schedule: " + err.Error())
 	}
-	a.started = w.now
+	a.started = sim.now
 	index, term, err := h.replica.Propose(data)
 	if err != nil {
 		return
@@ -66,38 +66,38 @@
 	h.flush()
 }
 
-func (a *attempt) uncertain(w *World) {
+func (a *attempt) outcomeUnknown(sim *Simulation) {
 	a.running = false
-	w.record(Operation{start: a.started, cmd: a.cmd})
-	if a.lost != nil {
-		a.lost()
+	sim.record(Operation{start: a.started, cmd: a.cmd})
+	if a.onUnknown != nil {
+		a.onUnknown()
 	}
 }
 
-func (a *attempt) notTaken(*World) {
+func (a *attempt) overwritten(*Simulation) {
 	a.running = false
-	if a.lost != nil {
-		a.lost()
+	if a.onUnknown != nil {
+		a.onUnknown()
 	}
 }
 
-func (a *attempt) done(w *World, result *wire.Result) {
+func (a *attempt) complete(sim *Simulation, result *wire.Result) {
 	a.running, a.finished, a.result = false, true, result
-	w.record(Operation{start: a.started, end: w.now, certain: true, cmd: a.cmd, result: result})
-	if a.then != nil {
-		a.then(result)
+	sim.record(Operation{start: a.started, end: sim.now, completed: true, cmd: a.cmd, result: result})
+	if a.onResult != nil {
+		a.onResult(result)
 	}
 }
 
-func (a *attempt) read(w *World, version uint64) {
-	w.record(Operation{start: a.started, end: w.now, certain: true, version: version})
-	if version < a.floor {
-		w.violate(NoReversal, fmt.Sprintf("a confirmed read gave version %d, version %d was accepted before", version, a.floor))
+func (a *attempt) completeRead(sim *Simulation, version uint64) {
+	sim.record(Operation{start: a.started, end: sim.now, completed: true, version: version})
+	if version < a.minVersion {
+		sim.violate(MonotonicReads, fmt.Sprintf("a confirmed read gave version %d, version %d was accepted before", version, a.minVersion))
 	}
-	w.clients.noteVersion(version)
+	sim.clients.observeVersion(version)
 }
 
-func (w *World) record(op Operation) {
-	w.report.operations = append(w.report.operations, op)
-	w.now++
+func (sim *Simulation) record(op Operation) {
+	sim.report.operations = append(sim.report.operations, op)
+	sim.now++
 }
--- a/control/schedule/clients.go
+++ b/control/schedule/clients.go
@@ -8,100 +8,100 @@
 
 // clients are the operators and entry hosts of a run.
 type clients struct {
-	next        int
-	known       uint64 // newest version that any client knows of
-	submissions []*wire.SubmitRequest
-	first       map[string]*wire.SubmitResponse // by submission id
-	holders     []*holder
-	dispatched  map[string]string // key to claim id
-	nextRead    uint64
+	next           int
+	newestVersion  uint64 // newest version that any client knows of
+	submissions    []*wire.SubmitRequest
+	firstResponses map[string]*wire.SubmitResponse // by submission id
+	holders        []*holder
+	dispatched     map[string]string // key to claim id
+	nextRead       uint64
 }
 
 func newClients() *clients {
-	return &clients{first: map[string]*wire.SubmitResponse{}, dispatched: map[string]string{}}
+	return &clients{firstResponses: map[string]*wire.SubmitResponse{}, dispatched: map[string]string{}}
 }
 
-func (c *clients) noteVersion(n uint64) { c.known = max(c.known, n) }
+func (c *clients) observeVersion(n uint64) { c.newestVersion = max(c.newestVersion, n) }
 
-// act does one thing that a client may do.
-func (c *clients) act(w *World) {
-	h := w.anyHost()
-	if leader := w.leader(); leader != nil && w.source.Int(3) > 0 {
+// randomRequest does one thing that a client may do.
+func (c *clients) randomRequest(sim *Simulation) {
+	h := sim.randomHost()
+	if leader := sim.leader(); leader != nil && sim.source.Int(3) > 0 {
 		h = leader
 	}
 	if !h.up {
 		return
 	}
-	switch w.source.Int(7) {
+	switch sim.source.Int(7) {
 	case 0, 1:
-		c.submit(w, h)
+		c.submit(sim, h)
 	case 2:
-		c.submitAgain(w, h)
+		c.submitAgain(sim, h)
 	case 3, 4:
-		c.claim(w, h)
+		c.claim(sim, h)
 	case 5:
-		c.settle(w, h)
+		c.finishHolder(sim, h)
 	case 6:
-		c.read(w, h)
+		c.read(sim, h)
 	}
 }
 
-func (c *clients) submit(w *World, h *host) {
+func (c *clients) submit(sim *Simulation, h *host) {
 	c.next++
 	req := &wire.SubmitRequest{
 		SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), Author: "operator",
-		BaseVersion: c.known - min(c.known, uint64(w.source.Int(5)/4)),
+		BaseVersion: c.newestVersion - min(c.newestVersion, uint64(sim.source.Int(5)/4)),
 	}
 	c.submissions = append(c.submissions, req)
-	c.send(w, h, req)
+	c.send(sim, h, req)
 }
 
-func (c *clients) submitAgain(w *World, h *host) {
+func (c *clients) submitAgain(sim *Simulation, h *host) {
 	if len(c.submissions) > 0 {
-		c.send(w, h, c.submissions[w.source.Int(len(c.submissions))])
+		c.send(sim, h, c.submissions[sim.source.Int(len(c.submissions))])
 	}
 }
 
-func (c *clients) send(w *World, h *host, req *wire.SubmitRequest) {
-	a := &attempt{cmd: &wire.Command{At: w.wallClock(), Clock: int64(w.now), Body: &wire.Command_Submit{Submit: req}}}
-	a.then = func(result *wire.Result) { c.submitted(w, req, result.GetSubmit()) }
-	a.start(w, h)
+func (c *clients) send(sim *Simulation, h *host, req *wire.SubmitRequest) {
+	a := &attempt{cmd: &wire.Command{At: sim.wallClock(), Clock: int64(sim.now), Body: &wire.Command_Submit{Submit: req}}}
+	a.onResult = func(result *wire.Result) { c.handleSubmit(sim, req, result.GetSubmit()) }
+	a.start(sim, h)
 }
 
 // wallClock jumps far ahead and back.
-func (w *World) wallClock() int64 { return int64(w.now) + int64(w.source.Int(3)-1)*(1<<50) }
+func (sim *Simulation) wallClock() int64 { return int64(sim.now) + int64(sim.source.Int(3)-1)*(1<<50) }
 
-func (c *clients) submitted(w *World, req *wire.SubmitRequest, got *wire.SubmitResponse) {
-	c.noteVersion(got.GetVersion().GetNumber())
-	if first, ok := c.first[req.GetSubmissionId()]; ok {
+func (c *clients) handleSubmit(sim *Simulation, req *wire.SubmitRequest, got *wire.SubmitResponse) {
+	c.observeVersion(got.GetVersion().GetNumber())
+	if first, ok := c.firstResponses[req.GetSubmissionId()]; ok {
 		if first.GetAccepted() != got.GetAccepted() || first.GetVersion().GetNumber() != got.GetVersion().GetNumber() {
-			w.violate(SameResult, fmt.Sprintf("%s: first %v, then %v", req.GetSubmissionId(), first, got))
+			sim.violate(SameResult, fmt.Sprintf("%s: first %v, then %v", req.GetSubmissionId(), first, got))
 		}
 		return
 	}
-	c.first[req.GetSubmissionId()] = got
+	c.firstResponses[req.GetSubmissionId()] = got
 	if got.GetAccepted() {
-		w.report.accepted++
+		sim.report.accepted++
 	}
 }
 
-func (c *clients) read(w *World, h *host) {
+func (c *clients) read(sim *Simulation, h *host) {
 	c.nextRead++
-	a := &attempt{started: w.now, floor: c.known}
+	a := &attempt{started: sim.now, minVersion: c.newestVersion}
 	h.reads[c.nextRead] = a
 	h.replica.ReadIndex(c.nextRead)
 	h.flush()
 }
 
 // checkAccepted looks for every accepted submission on a host.
-func (c *clients) checkAccepted(w *World, h *host) {
-	for id, response := range c.first {
+func (c *clients) checkAccepted(sim *Simulation, h *host) {
+	for id, response := range c.firstResponses {
 		if !response.GetAccepted() {
 			continue
 		}
 		version, _ := h.machine.Version(response.GetVersion().GetNumber())
 		if version.GetSubmissionId() != id || version.GetDigest() != response.GetVersion().GetDigest() {
-			w.violate(NoLoss, fmt.Sprintf("%s: version %d of %s is %v", h.id, response.GetVersion().GetNumber(), id, version))
+			sim.violate(NoLoss, fmt.Sprintf("%s: version %d of %s is %v", h.id, response.GetVersion().GetNumber(), id, version))
 		}
 	}
 }
--- a/control/schedule/direct.go
+++ b/control/schedule/directed.go
@@ -6,33 +6,33 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Settle lets time pass until all voters hold the same log.
-func (w *World) Settle() bool { return w.RunUntil(w.settled) }
+// Converge lets time pass until all voters hold the same log.
+func (sim *Simulation) Converge() bool { return sim.RunUntil(sim.converged) }
 
 // Submit submits a rules file and waits until it is accepted.
-func (w *World) Submit() bool {
-	c := w.clients
+func (sim *Simulation) Submit() bool {
+	c := sim.clients
 	c.next++
-	req := &wire.SubmitRequest{SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), BaseVersion: c.known}
+	req := &wire.SubmitRequest{SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), BaseVersion: c.newestVersion}
 	c.submissions = append(c.submissions, req)
 	a := &attempt{cmd: &wire.Command{Body: &wire.Command_Submit{Submit: req}}}
-	a.then = func(result *wire.Result) { c.submitted(w, req, result.GetSubmit()) }
-	w.propose(a)
+	a.onResult = func(result *wire.Result) { c.handleSubmit(sim, req, result.GetSubmit()) }
+	sim.propose(a)
 	return a.result.GetSubmit().GetAccepted()
 }
 
 // Claim claims a key for a holder that dispatches.
-func (w *World) Claim(key string) bool {
-	one := w.clients.newHolder(key)
-	a := &attempt{cmd: one.claimCommand(w)}
-	w.propose(a)
+func (sim *Simulation) Claim(key string) bool {
+	one := sim.clients.newHolder(key)
+	a := &attempt{cmd: one.claimCommand(sim)}
+	sim.propose(a)
 	if a.result.GetClaim().GetState() != wire.ClaimState_CLAIM_GRANTED {
 		return false
 	}
 	one.state = dispatched
-	w.clients.dispatched[key] = one.claimID
+	sim.clients.dispatched[key] = one.claimID
 	return true
 }
 
-// Judge checks what must hold once the group has healed.
-func (w *World) Judge() { w.judge() }
+// CheckHealed checks what must hold once the group has healed.
+func (sim *Simulation) CheckHealed() { sim.checkHealed() }
--- a/control/schedule/heal.go
+++ b/control/schedule/heal.go
@@ -15,29 +15,29 @@
 
 // Heal ends all faults, starts every host that has a disk, and runs until all
 // of them hold the same log, or for a bounded time.
-func (w *World) Heal() {
-	w.faults = false
-	w.blocked = map[[2]string]bool{}
-	for _, h := range w.hosts {
+func (sim *Simulation) Heal() {
+	sim.faults = false
+	sim.blocked = map[[2]string]bool{}
+	for _, h := range sim.hosts {
 		h.folder.FailSyncs(nil)
-		if !h.up && !h.gone {
+		if !h.up && !h.diskLost {
 			h.start()
 		}
 	}
-	if !w.RunUntil(func() bool { return w.settled() }) {
-		w.violate(Recovers, "the healed group does not settle: "+w.describe())
+	if !sim.RunUntil(func() bool { return sim.converged() }) {
+		sim.violate(Liveness, "the healed group does not settle: "+sim.describe())
 	}
 }
 
 // RunUntil lets time pass without further faults until a condition holds.
-func (w *World) RunUntil(condition func() bool) bool {
+func (sim *Simulation) RunUntil(condition func() bool) bool {
 	for range healRounds {
-		w.now++
-		for _, h := range w.hosts {
-			w.tick(h)
+		sim.now++
+		for _, h := range sim.hosts {
+			sim.tick(h)
 		}
 		for range roundDeliver {
-			w.deliver()
+			sim.deliver()
 		}
 		if condition() {
 			return true
@@ -48,23 +48,23 @@
 
 // Repair adds, promotes and removes replicas until every host with a disk is a
 // voter.
-func (w *World) Repair() bool {
-	return w.RunUntil(func() bool {
-		if leader := w.leader(); leader != nil && !w.Repaired() {
-			w.repairStep(leader)
+func (sim *Simulation) Repair() bool {
+	return sim.RunUntil(func() bool {
+		if leader := sim.leader(); leader != nil && !sim.Repaired() {
+			sim.repairStep(leader)
 			leader.flush()
 		}
-		return w.Repaired() && w.settled()
+		return sim.Repaired() && sim.converged()
 	})
 }
 
-// settled reports whether one leader is followed by all voters with equal logs.
-func (w *World) settled() bool {
-	leader := w.leader()
+// converged reports whether one leader is followed by all voters with equal logs.
+func (sim *Simulation) converged() bool {
+	leader := sim.leader()
 	if leader == nil || leader.replica.CommitIndex() != leader.replica.LastIndex() {
 		return false
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if !h.up || roleOf(leader.replica.Members(), h.id) != quorum.Voter {
 			continue
 		}
@@ -75,55 +75,55 @@
 	return true
 }
 
-func (w *World) describe() string {
+func (sim *Simulation) describe() string {
 	text := ""
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.up {
 			text += fmt.Sprintf("%s %s term %d commit %d last %d; ", h.id, h.replica.Role(), h.replica.Term(), h.replica.CommitIndex(), h.replica.LastIndex())
 			continue
 		}
-		text += fmt.Sprintf("%s down gone=%t; ", h.id, h.gone)
+		text += fmt.Sprintf("%s down gone=%t; ", h.id, h.diskLost)
 	}
 	return text
 }
 
-// judge checks what must hold once the group has healed.
-func (w *World) judge() {
-	if len(w.report.violations) > 0 {
+// checkHealed checks what must hold once the group has healed.
+func (sim *Simulation) checkHealed() {
+	if len(sim.report.violations) > 0 {
 		return
 	}
-	w.clients.finish(w)
-	if !w.RunUntil(w.settled) {
-		w.violate(Recovers, "the group does not settle after the last requests: "+w.describe())
+	sim.clients.checkClaims(sim)
+	if !sim.RunUntil(sim.converged) {
+		sim.violate(Liveness, "the group does not settle after the last requests: "+sim.describe())
 		return
 	}
-	w.report.elections = len(w.leaders)
-	leader := w.leader()
+	sim.report.elections = len(sim.leaders)
+	leader := sim.leader()
 	want, _ := leader.machine.Snapshot()
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if !h.up || roleOf(leader.replica.Members(), h.id) != quorum.Voter {
 			continue
 		}
 		got, _ := h.machine.Snapshot()
 		if !bytes.Equal(want, got) {
-			w.violate(SameState, fmt.Sprintf("%s and %s differ", leader.id, h.id))
+			sim.violate(SameState, fmt.Sprintf("%s and %s differ", leader.id, h.id))
 		}
-		w.clients.checkAccepted(w, h)
+		sim.clients.checkAccepted(sim, h)
 	}
 }
 
 // propose proposes at the leader and runs until the outcome is known.
-func (w *World) propose(a *attempt) {
-	w.RunUntil(func() bool {
+func (sim *Simulation) propose(a *attempt) {
+	sim.RunUntil(func() bool {
 		if a.finished {
 			return true
 		}
-		if leader := w.leader(); leader != nil && !a.running {
-			a.start(w, leader)
+		if leader := sim.leader(); leader != nil && !a.running {
+			a.start(sim, leader)
 		}
 		return a.finished
 	})
 	if !a.finished {
-		w.violate(Recovers, "a request of the healed group stays without answer")
+		sim.violate(Liveness, "a request of the healed group stays without answer")
 	}
 }
--- a/control/schedule/holders.go
+++ b/control/schedule/holders.go
@@ -14,7 +14,7 @@
 const (
 	claiming   holderState = "claiming"
 	dispatched holderState = "dispatched" // granted: the request is on its way
-	givingUp   holderState = "giving up"  // releases until that is acknowledged
+	releasing  holderState = "giving up"  // releases until that is acknowledged
 	released   holderState = "released"
 	refused    holderState = "refused" // another attempt holds or completed it
 	answered   holderState = "answered"
@@ -31,9 +31,9 @@
 	return &wire.ClaimKey{Service: "checkout", Caller: "studio", IdempotencyKey: h.key}
 }
 
-func (h *holder) claimCommand(w *World) *wire.Command {
+func (h *holder) claimCommand(sim *Simulation) *wire.Command {
 	req := &wire.ClaimRequest{Key: h.wireKey(), ClaimId: h.claimID, Holder: h.claimID}
-	return &wire.Command{At: w.wallClock(), Clock: int64(w.now), Body: &wire.Command_Claim{Claim: req}}
+	return &wire.Command{At: sim.wallClock(), Clock: int64(sim.now), Body: &wire.Command_Claim{Claim: req}}
 }
 
 func (h *holder) releaseCommand() *wire.Command {
@@ -48,29 +48,29 @@
 }
 
 // claim starts an attempt; sometimes the same claim is sent twice.
-func (c *clients) claim(w *World, at *host) {
-	one := c.newHolder(fmt.Sprintf("key-%d", w.source.Int(claimKeys)))
-	c.sendClaim(w, at, one)
-	if w.source.Int(4) == 0 && at.up {
-		c.sendClaim(w, at, one)
+func (c *clients) claim(sim *Simulation, at *host) {
+	one := c.newHolder(fmt.Sprintf("key-%d", sim.source.Int(claimKeys)))
+	c.sendClaim(sim, at, one)
+	if sim.source.Int(4) == 0 && at.up {
+		c.sendClaim(sim, at, one)
 	}
 }
 
-func (c *clients) sendClaim(w *World, at *host, one *holder) {
-	a := &attempt{cmd: one.claimCommand(w)}
-	a.then = func(result *wire.Result) { c.claimed(w, one, result.GetClaim()) }
-	a.lost = func() {
+func (c *clients) sendClaim(sim *Simulation, at *host, one *holder) {
+	a := &attempt{cmd: one.claimCommand(sim)}
+	a.onResult = func(result *wire.Result) { c.handleClaim(sim, one, result.GetClaim()) }
+	a.onUnknown = func() {
 		if one.state == claiming {
-			one.state = givingUp
+			one.state = releasing
 		}
 	}
-	a.start(w, at)
+	a.start(sim, at)
 	if !a.running && !a.finished && one.state == claiming {
-		one.state = givingUp
+		one.state = releasing
 	}
 }
 
-func (c *clients) claimed(w *World, one *holder, got *wire.ClaimResponse) {
+func (c *clients) handleClaim(sim *Simulation, one *holder, got *wire.ClaimResponse) {
 	if one.state != claiming {
 		return
 	}
@@ -78,76 +78,76 @@
 		one.state = refused
 		return
 	}
-	if w.source.Int(4) == 0 {
-		one.state = givingUp // the deadline passed before the dispatch
+	if sim.source.Int(4) == 0 {
+		one.state = releasing // the deadline passed before the dispatch
 		return
 	}
 	one.state = dispatched
-	w.report.dispatched++
+	sim.report.dispatched++
 	if other, ok := c.dispatched[one.key]; ok {
-		w.violate(OneHolder, fmt.Sprintf("%s was dispatched by %s and by %s", one.key, other, one.claimID))
+		sim.violate(OneHolder, fmt.Sprintf("%s was dispatched by %s and by %s", one.key, other, one.claimID))
 	}
 	c.dispatched[one.key] = one.claimID
 }
 
-// settle completes or releases an attempt, or sends its claim again late.
-func (c *clients) settle(w *World, at *host) {
+// finishHolder completes or releases an attempt, or sends its claim again late.
+func (c *clients) finishHolder(sim *Simulation, at *host) {
 	if len(c.holders) == 0 {
 		return
 	}
-	one := c.holders[w.source.Int(len(c.holders))]
+	one := c.holders[sim.source.Int(len(c.holders))]
 	switch one.state {
 	case dispatched:
-		c.complete(w, at, one)
-	case givingUp:
-		c.release(w, at, one)
+		c.complete(sim, at, one)
+	case releasing:
+		c.release(sim, at, one)
 	case released:
 		// A claim that was delayed on its way arrives after its release.
-		c.sendClaim(w, at, one)
+		c.sendClaim(sim, at, one)
 	}
 }
 
-func (c *clients) complete(w *World, at *host, one *holder) {
+func (c *clients) complete(sim *Simulation, at *host, one *holder) {
 	req := &wire.CompleteRequest{Key: one.wireKey(), ClaimId: one.claimID, Answer: &wire.StoredAnswer{Status: 200}}
 	a := &attempt{cmd: &wire.Command{Body: &wire.Command_Complete{Complete: req}}}
-	a.then = func(result *wire.Result) {
+	a.onResult = func(result *wire.Result) {
 		if result.GetComplete().GetStored() {
 			one.state = answered
 		}
 	}
-	a.start(w, at)
+	a.start(sim, at)
 }
 
-func (c *clients) release(w *World, at *host, one *holder) {
+func (c *clients) release(sim *Simulation, at *host, one *holder) {
 	a := &attempt{cmd: one.releaseCommand()}
-	a.then = func(result *wire.Result) {
+	a.onResult = func(result *wire.Result) {
 		if result.GetRelease().GetReleased() {
 			one.state = released
 		}
 	}
-	a.start(w, at)
+	a.start(sim, at)
 }
 
-// finish releases every attempt that was given up, then checks that each key
+// checkClaims releases every attempt that was given up, then checks that each key
 // that nobody dispatched can still be claimed.
-func (c *clients) finish(w *World) {
+func (c *clients) checkClaims(sim *Simulation) {
 	for _, one := range c.holders {
-		if one.state == givingUp || one.state == claiming {
-			w.propose(&attempt{cmd: one.releaseCommand()})
+		if one.state == releasing || one.state == claiming {
+			sim.propose(&attempt{cmd: one.releaseCommand()})
 		}
 	}
 	for n := range claimKeys {
 		key := fmt.Sprintf("key-%d", n)
 		one := c.newHolder(key)
-		a := &attempt{cmd: one.claimCommand(w)}
-		w.propose(a)
+		a := &attempt{cmd: one.claimCommand(sim)}
+		sim.propose(a)
 		_, ran := c.dispatched[key]
 		granted := a.result.GetClaim().GetState() == wire.ClaimState_CLAIM_GRANTED
 		if granted && ran {
-			w.violate(OneHolder, key+" is granted again after it was dispatched")
+			sim.violate(OneHolder, key+" is granted again after it was dispatched")
 		}
 		if !granted && !ran {
-			w.violate(NoOrphan, fmt.Sprintf("%s is held by %s, which gave up", key, a.result.GetClaim().GetHolder()))
+			sim.violate(NoOrphanClaim, fmt.Sprintf("%s is held by %s, which gave up", key, a.result.GetClaim().GetHolder()))
 		}
 	}
 }
--- a/control/schedule/host.go
+++ b/control/schedule/host.go
@@ -17,35 +17,35 @@
 
 // host is one data folder with the process that uses it.
 type host struct {
-	world   *World
-	name    string
-	id      string
-	folder  *memory.Folder
-	store   *disk.Store
-	replica *quorum.Replica
-	machine *state.Machine
-	up      bool
-	gone    bool // the disk is lost, the identity never comes back
-	pending map[uint64]*attempt
-	reads   map[uint64]*attempt
+	sim      *Simulation
+	name     string
+	id       string
+	folder   *memory.Folder
+	store    *disk.Store
+	replica  *quorum.Replica
+	machine  *state.Machine
+	up       bool
+	diskLost bool // the disk is lost, the identity never comes back
+	pending  map[uint64]*attempt
+	reads    map[uint64]*attempt
 }
 
 var errPowerFailure = errors.New("power failure")
 
-func (w *World) newHost(name string) *host {
-	h := &host{world: w, name: name, id: fmt.Sprintf("%s/%d", name, len(w.hosts)), folder: memory.New()}
+func (sim *Simulation) newHost(name string) *host {
+	h := &host{sim: sim, name: name, id: fmt.Sprintf("%s/%d", name, len(sim.hosts)), folder: memory.New()}
 	store, err := disk.Create(h.folder, &wire.ReplicaIdentity{Identity: h.id, Name: name, Group: "group"}, disk.WithSegmentBytes(segmentBytes))
 	if err != nil {
 		panic("schedule: " + err.Error())
 	}
 	_ = store.Close()
-	w.hosts = append(w.hosts, h)
+	sim.hosts = append(sim.hosts, h)
 	h.start()
 	return h
 }
 
-// found writes the first membership.
-func (h *host) found(members []*wire.Member) {
+// bootstrap writes the first membership.
+func (h *host) bootstrap(members []*wire.Member) {
 	first := &wire.LogEntry{Index: 1, Term: 1, Kind: wire.EntryKind_ENTRY_MEMBERS, Members: &wire.Members{Members: members}}
 	if err := h.store.Write(&wire.SavedVote{Term: 1}, []*wire.LogEntry{first}); err != nil {
 		panic("schedule: " + err.Error())
@@ -58,18 +58,18 @@
 func (h *host) start() {
 	store, saved, err := disk.Open(h.folder, disk.WithSegmentBytes(segmentBytes))
 	if err != nil {
-		h.world.violate(DiskReads, h.id+": "+err.Error())
-		h.gone = true
+		h.sim.violate(CrashConsistency, h.id+": "+err.Error())
+		h.diskLost = true
 		return
 	}
 	h.store, h.machine = store, state.New()
 	if s := saved.Snapshot.GetState(); len(s) > 0 {
 		if err := h.machine.Restore(s); err != nil {
-			h.world.violate(DiskReads, h.id+": "+err.Error())
+			h.sim.violate(CrashConsistency, h.id+": "+err.Error())
 		}
 	}
 	h.replica = quorum.New(h.id, saved, quorum.WithElectionTicks(electionTicks), quorum.WithHeartbeatTicks(heartbeatTicks),
-		quorum.WithSeed(xxhash.Sum64String(fmt.Sprint(h.id, h.world.now))), quorum.WithMaxBatchBytes(256), quorum.WithMaxInFlight(16))
+		quorum.WithSeed(xxhash.Sum64String(fmt.Sprint(h.id, h.sim.now))), quorum.WithMaxBatchBytes(256), quorum.WithMaxInFlight(16))
 	h.pending, h.reads = map[uint64]*attempt{}, map[uint64]*attempt{}
 	h.up = true
 }
@@ -77,14 +77,14 @@
 // crash stops the process and forgets what was not synced.
 func (h *host) crash() {
 	h.up = false
-	h.world.report.crashes++
-	h.giveUp()
+	h.sim.report.crashes++
+	h.abandonRequests()
 	h.folder.FailSyncs(nil)
-	h.folder.Crash(func(unsynced int) int { return h.world.source.Int(unsynced + 1) })
+	h.folder.Crash(func(unsynced int) int { return h.sim.source.Int(unsynced + 1) })
 }
 
-func (h *host) giveUp() {
-	h.dropPending()
+func (h *host) abandonRequests() {
+	h.abandonProposals()
 	for id, a := range h.reads {
 		delete(h.reads, id)
 		a.abandoned = true
@@ -99,13 +99,13 @@
 		if out.Empty() {
 			return
 		}
-		h.world.send(out.EarlyMessages())
+		h.sim.send(out.EarlyMessages())
 		if out.NeedsWrite() && !h.write(&out) {
 			return
 		}
 		h.replica.Persisted()
-		h.world.send(out.Messages())
-		if out.Vote() != nil && h.world.fault(8) {
+		h.sim.send(out.Messages())
+		if out.Vote() != nil && h.sim.fault(8) {
 			// A vote that was told must be known after the restart.
 			h.crash()
 			return
@@ -119,11 +119,11 @@
 }
 
 func (h *host) write(out *quorum.Output) bool {
-	if h.world.fault(120) {
+	if h.sim.fault(120) {
 		h.folder.FailSyncs(errPowerFailure)
 	}
 	err := h.save(out)
-	if err == nil && !h.world.fault(300) {
+	if err == nil && !h.sim.fault(300) {
 		return true
 	}
 	h.crash()
@@ -138,7 +138,7 @@
 	if err := h.store.Write(out.Vote(), nil); err != nil {
 		return err
 	}
-	if err := h.store.Install(s); err != nil {
+	if err := h.store.InstallSnapshot(s); err != nil {
 		return err
 	}
 	return h.store.Write(nil, out.Entries())
@@ -147,9 +147,9 @@
 func (h *host) apply(out *quorum.Output) {
 	if s := out.Snapshot(); s != nil {
 		if err := h.machine.Restore(s.GetState()); err != nil {
-			h.world.violate(DiskReads, err.Error())
+			h.sim.violate(CrashConsistency, err.Error())
 		}
-		h.giveUp()
+		h.abandonRequests()
 	}
 	for _, e := range out.Committed() {
 		h.applyEntry(e)
@@ -157,12 +157,12 @@
 }
 
 func (h *host) applyEntry(e *wire.LogEntry) {
-	h.world.checkEntry(h, e)
+	h.sim.checkEntry(h, e)
 	var result *wire.Result
 	if e.GetKind() == wire.EntryKind_ENTRY_COMMAND {
 		cmd := &wire.Command{}
 		if err := proto.Unmarshal(e.GetData(), cmd); err != nil {
-			h.world.violate(SameEntries, err.Error())
+			h.sim.violate(SameEntries, err.Error())
 		}
 		result = h.machine.Apply(cmd)
 	}
@@ -172,10 +172,10 @@
 	}
 	delete(h.pending, e.GetIndex())
 	if a.term != e.GetTerm() {
-		a.notTaken(h.world)
+		a.overwritten(h.sim)
 		return
 	}
-	a.done(h.world, result)
+	a.complete(h.sim, result)
 }
 
 func (h *host) answerRead(r quorum.ReadResult) {
@@ -189,29 +189,29 @@
 		return
 	}
 	version, _ := h.machine.InForce()
-	a.read(h.world, version.GetNumber())
+	a.completeRead(h.sim, version.GetNumber())
 }
 
 // observe checks what must hold at any moment.
 func (h *host) observe() {
 	if h.replica.Role() != quorum.Leader {
-		h.dropPending()
+		h.abandonProposals()
 		return
 	}
-	w, term := h.world, h.replica.Term()
-	if other, ok := w.leaders[term]; ok && other != h.id {
-		w.violate(OneLeader, fmt.Sprintf("%s and %s in term %d", other, h.id, term))
+	sim, term := h.sim, h.replica.Term()
+	if other, ok := sim.leaders[term]; ok && other != h.id {
+		sim.violate(OneLeader, fmt.Sprintf("%s and %s in term %d", other, h.id, term))
 	}
-	w.leaders[term] = h.id
+	sim.leaders[term] = h.id
 }
 
-// dropPending gives up proposals of a leadership that ended, always in the same
+// abandonProposals gives up proposals of a leadership that ended, always in the same
 // order.
-func (h *host) dropPending() {
+func (h *host) abandonProposals() {
 	for _, index := range slices.Sorted(maps.Keys(h.pending)) {
 		a := h.pending[index]
 		delete(h.pending, index)
-		a.uncertain(h.world)
+		a.outcomeUnknown(h.sim)
 	}
 }
 
@@ -223,18 +223,18 @@
 	s := h.replica.SnapshotMeta()
 	data, err := h.machine.Snapshot()
 	if err != nil {
-		h.world.violate(SameState, err.Error())
+		h.sim.violate(SameState, err.Error())
 		return
 	}
 	s.State = data
-	if h.world.fault(20) {
+	if h.sim.fault(20) {
 		h.folder.FailSyncs(errPowerFailure)
 	}
 	if err := h.store.SaveSnapshot(s); err != nil {
 		h.crash()
 		return
 	}
-	if err := h.store.Truncate(s.GetIndex()); err != nil {
+	if err := h.store.Compact(s.GetIndex()); err != nil {
 		h.crash()
 		return
 	}
--- a/control/schedule/members.go
+++ b/control/schedule/members.go
@@ -9,16 +9,16 @@
 const maxHosts = 12
 
 // Leader returns the name of a host that leads with the newest term, or "".
-func (w *World) Leader() string {
-	if h := w.leader(); h != nil {
+func (sim *Simulation) Leader() string {
+	if h := sim.leader(); h != nil {
 		return h.name
 	}
 	return ""
 }
 
-func (w *World) leader() *host {
+func (sim *Simulation) leader() *host {
 	var best *host
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.up && h.replica.Role() == quorum.Leader && (best == nil || h.replica.Term() > best.replica.Term()) {
 			best = h
 		}
@@ -26,73 +26,73 @@
 	return best
 }
 
-// current returns the host of a name that still has its disk.
-func (w *World) current(name string) *host {
-	for n := len(w.hosts) - 1; n >= 0; n-- {
-		if w.hosts[n].name == name {
-			return w.hosts[n]
+// hostNamed returns the host of a name that still has its disk.
+func (sim *Simulation) hostNamed(name string) *host {
+	for n := len(sim.hosts) - 1; n >= 0; n-- {
+		if sim.hosts[n].name == name {
+			return sim.hosts[n]
 		}
 	}
 	return nil
 }
 
 // LoseDisk blanks the disk of a host, which starts again with a new identity.
-func (w *World) LoseDisk(name string) {
-	h := w.current(name)
-	if len(w.hosts) >= maxHosts {
+func (sim *Simulation) LoseDisk(name string) {
+	h := sim.hostNamed(name)
+	if len(sim.hosts) >= maxHosts {
 		return
 	}
 	if h.up {
 		h.up = false
-		h.giveUp()
+		h.abandonRequests()
 	}
-	h.gone = true
-	w.report.blanks++
-	w.newHost(name)
+	h.diskLost = true
+	sim.report.diskLosses++
+	sim.newHost(name)
 }
 
 // Crash stops a host's process; what was not synced is lost.
-func (w *World) Crash(name string) {
-	if h := w.current(name); h.up {
+func (sim *Simulation) Crash(name string) {
+	if h := sim.hostNamed(name); h.up {
 		h.crash()
 	}
 }
 
 // changeMembers proposes what an operator would do next at the leader.
-func (w *World) changeMembers() {
-	leader := w.leader()
+func (sim *Simulation) changeMembers() {
+	leader := sim.leader()
 	if leader == nil {
 		return
 	}
-	if w.source.Int(4) == 0 {
-		if id := w.anyHost().id; id != leader.id {
+	if sim.source.Int(4) == 0 {
+		if id := sim.randomHost().id; id != leader.id {
 			_ = leader.replica.Transfer(id)
 			leader.flush()
 		}
 		return
 	}
-	w.repairStep(leader)
+	sim.repairStep(leader)
 	leader.flush()
 }
 
 // repairStep proposes one change that brings the membership closer to all
 // hosts that have a disk being voters and no others being members.
-func (w *World) repairStep(leader *host) {
-	for _, h := range w.hosts {
-		if !h.gone && h.id != leader.id && roleOf(leader.replica.Members(), h.id) == quorum.Learner {
+func (sim *Simulation) repairStep(leader *host) {
+	for _, h := range sim.hosts {
+		if !h.diskLost && h.id != leader.id && roleOf(leader.replica.Members(), h.id) == quorum.Learner {
 			if _, _, err := leader.replica.Promote(h.id); err == nil {
 				return
 			}
 		}
 	}
-	for _, h := range w.hosts {
-		if !h.gone && roleOf(leader.replica.Members(), h.id) == "" {
+	for _, h := range sim.hosts {
+		if !h.diskLost && roleOf(leader.replica.Members(), h.id) == "" {
 			_, _, _ = leader.replica.AddLearner(&wire.Member{Name: h.name, Identity: h.id, Address: h.id})
 			return
 		}
 	}
-	for _, h := range w.hosts {
-		if h.gone && roleOf(leader.replica.Members(), h.id) != "" {
+	for _, h := range sim.hosts {
+		if h.diskLost && roleOf(leader.replica.Members(), h.id) != "" {
 			_, _, _ = leader.replica.Remove(h.id)
 			return
 		}
@@ -110,10 +110,10 @@
 
 // Repaired reports whether all hosts with a disk are voters, and no others, in
 // the newest committed membership.
-func (w *World) Repaired() bool {
-	for _, h := range w.hosts {
-		role := roleOf(w.members, h.id)
-		if (h.gone && role != "") || (!h.gone && role != quorum.Voter) {
+func (sim *Simulation) Repaired() bool {
+	for _, h := range sim.hosts {
+		role := roleOf(sim.members, h.id)
+		if (h.diskLost && role != "") || (!h.diskLost && role != quorum.Voter) {
 			return false
 		}
 	}
--- a/control/schedule/repair_test.go
+++ b/control/schedule/repair_test.go
@@ -12,20 +12,20 @@
 func TestRepairOneThenLoseASecond(t *testing.T) {
 	for _, hosts := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
-			w := schedule.NewWorld(schedule.NewRandom(1), schedule.WithHosts(hosts), schedule.WithoutFaults())
+			sim := schedule.NewSimulation(schedule.NewRandom(1), schedule.WithHosts(hosts), schedule.WithoutFaults())
 			for n := range hosts {
-				must.True(t, w.Submit())
-				must.True(t, w.Claim(fmt.Sprintf("key-%d", n%4)), must.Sprint("claim"))
-				w.LoseDisk(fmt.Sprintf("control-%d", n+1))
+				must.True(t, sim.Submit())
+				must.True(t, sim.Claim(fmt.Sprintf("key-%d", n%4)), must.Sprint("claim"))
+				sim.LoseDisk(fmt.Sprintf("control-%d", n+1))
 				if n >= 3 {
 					break
 				}
-				must.True(t, w.Repair(), must.Sprintf("repair after the loss of host %d", n+1))
+				must.True(t, sim.Repair(), must.Sprintf("repair after the loss of host %d", n+1))
 			}
-			must.True(t, w.Repair())
-			must.True(t, w.Submit())
-			w.Judge()
-			must.Eq(t, "", describe(w.Report()))
+			must.True(t, sim.Repair())
+			must.True(t, sim.Submit())
+			sim.CheckHealed()
+			must.Eq(t, "", describe(sim.Report()))
 		})
 	}
 }
@@ -33,19 +33,19 @@
 // A host that comes back with a blank disk under its old name has no vote: the
 // two that are left must not lose what only one of them holds.
 func TestBlankDiskUnderAnOldNameHasNoVote(t *testing.T) {
-	w := schedule.NewWorld(schedule.NewRandom(2), schedule.WithHosts(3), schedule.WithoutFaults())
-	must.True(t, w.Submit())
-	leader := w.Leader()
-	w.LoseDisk(leader)
+	sim := schedule.NewSimulation(schedule.NewRandom(2), schedule.WithHosts(3), schedule.WithoutFaults())
+	must.True(t, sim.Submit())
+	leader := sim.Leader()
+	sim.LoseDisk(leader)
 	others := map[string]bool{"control-1": true, "control-2": true, "control-3": true}
 	delete(others, leader)
 	for name := range others {
-		w.Crash(name)
+		sim.Crash(name)
 	}
 	// Only the blank host runs: it must not become a leader.
-	must.False(t, w.RunUntil(func() bool { return w.Leader() != "" }))
-	w.Heal()
-	must.True(t, w.Repair())
-	w.Judge()
-	must.Eq(t, "", describe(w.Report()))
+	must.False(t, sim.RunUntil(func() bool { return sim.Leader() != "" }))
+	sim.Heal()
+	must.True(t, sim.Repair())
+	sim.CheckHealed()
+	must.Eq(t, "", describe(sim.Report()))
 }
