--- a/control/agreement/agreement.go
+++ b/control/agreement/agreement.go
@@ -1,11 +1,11 @@
-// Package agreement is the seam between the replicated log and those who use
-// it: the operator and entry services propose commands and ask whether what
-// they read is current; they do not know how hosts agree.
+// Package agreement defines the interface between the replicated log and its
+// users: the operator and entry services propose commands and confirm that the
+// state they read is current, independently of the consensus implementation.
 //
 // Usage:
 //
 //	result, err := log.Propose(ctx, command)
-//	if err := log.Confirm(ctx); err != nil { /* answer as stale */ }
+//	if err := log.Confirm(ctx); err != nil { /* mark the response as stale */ }
 package agreement
 
 import (
@@ -18,21 +18,22 @@
 
 // Errors of a log.
 var (
-	// ErrNotLeader means that this host did not take the command; another may.
+	// ErrNotLeader means that this host did not accept the command; another
+	// host may.
 	ErrNotLeader = errors.New("this control host is not the leader")
-	// ErrNoQuorum means that the command was not taken, or that the state
-	// cannot be confirmed, for want of a quorum.
+	// ErrNoQuorum means that, without a quorum, the command was not accepted or
+	// the state cannot be confirmed.
 	ErrNoQuorum = errors.New("no quorum of control hosts answers")
 	// ErrUncertain means that the command may still be committed later.
-	ErrUncertain = errors.New("the command's fate is not known")
+	ErrUncertain = errors.New("the outcome of the command is unknown")
 )
 
-// Log orders commands among the control hosts.
+// Log is the replicated log of commands of the control hosts.
 type Log interface {
 	// Propose returns the command's result once it is committed and applied.
 	Propose(ctx context.Context, cmd *wire.Command) (*wire.Result, error)
-	// Confirm returns nil once the applied state is at least as new as any
-	// command that was committed before the call.
+	// Confirm returns nil once the applied state includes every command that
+	// was committed before the call.
 	Confirm(ctx context.Context) error
 	// Status describes the control group as this host sees it.
 	Status() Status
@@ -57,19 +58,21 @@
 	}
 }
 
-// WithAsOf returns the status with the time at which a quorum was last heard.
+// WithAsOf returns the status with the time of the last contact with a quorum.
 func (s Status) WithAsOf(t time.Time) Status {
 	s.asOf = t
 	return s
 }
 
-// AsOf returns when this host last heard a quorum's word; zero if it never did.
+// AsOf returns the time of the last contact with a quorum, or zero if there was
+// none.
 func (s Status) AsOf() time.Time { return s.asOf }
 
-// Leader returns the leader's name, empty if unknown.
+// Leader returns the leader's name, or an empty string if it is unknown.
 func (s Status) Leader() string { return s.leader }
 
-// LeaderAddress returns the leader's address, empty if unknown.
+// LeaderAddress returns the leader's address, or an empty string if it is
+// unknown.
 func (s Status) LeaderAddress() string { return s.leaderAddress }
 
 // Term returns the current term.
@@ -78,7 +81,7 @@
 // CommitIndex returns the index of the last committed entry.
 func (s Status) CommitIndex() uint64 { return s.commitIndex }
 
-// Quorum reports whether this host has lately heard a quorum's word.
+// Quorum reports whether this host has recently been in contact with a quorum.
 func (s Status) Quorum() bool { return s.quorum }
 
 // Members returns the members of the control group.
--- a/control/command/backup.go
+++ b/control/command/backup.go
@@ -15,7 +15,7 @@
 	File string `arg:"" help:"File to write; it must not exist."`
 }
 
-// Run writes the backup and syncs it.
+// Run writes the backup file and syncs it.
 func (c *Backup) Run(w io.Writer) error {
 	contents, err := openFolder(c.Data)
 	if err != nil {
@@ -48,8 +48,8 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Wrap(err, "write backup")
 }
--- a/control/command/command.go
+++ b/control/command/command.go
@@ -1,5 +1,5 @@
-// Package command holds the commands of snipebeam-control that work on a data
-// folder: they run beside the command that runs the host.
+// Package command implements the sub-commands of snipebeam-control that work on
+// a data folder: inspect, backup and restore.
 //
 // Usage:
 //
@@ -26,16 +26,16 @@
 	return contents, errors.Wrap(err, "read "+path)
 }
 
-// replay returns the state after every entry of a folder, with the index and
-// the term of the last one. Which of the last entries were committed cannot be
-// told from one folder.
+// replay returns the state after all entries of a folder, with the index and
+// the term of the last one. It may include entries that were not committed: one
+// folder does not show which of its last entries were.
 func replay(c *disk.Contents) (*state.Machine, *wire.LogSnapshot, error) {
 	saved := c.PersistentState()
 	machine := state.New()
 	last := &wire.LogSnapshot{Index: saved.Snapshot.GetIndex(), Term: saved.Snapshot.GetTerm()}
 	if data := saved.Snapshot.GetState(); len(data) > 0 {
 		if err := machine.Restore(data); err != nil {
-			return nil, nil, errors.Wrap(err, "restore the snapshot")
+			return nil, nil, errors.Wrap(err, "restore snapshot")
 		}
 	}
 	for _, e := range saved.Entries {
--- a/control/command/command_test.go
+++ b/control/command/command_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// folderWithOneChange makes a replica with one accepted change in its log.
+// folderWithOneChange creates a replica with one accepted change in its log.
 func folderWithOneChange(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "data")
--- a/control/command/inspect.go
+++ b/control/command/inspect.go
@@ -9,12 +9,12 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Inspect prints what a data folder holds.
+// Inspect prints the content of a data folder.
 type Inspect struct {
 	Data string `arg:"" help:"Data folder." type:"existingdir"`
 }
 
-// Run reads the folder; that of a running host may be read too.
+// Run reads the folder without locking it, so the host may be running.
 func (c *Inspect) Run(w io.Writer) error {
 	contents, err := openFolder(c.Data)
 	if err != nil {
--- a/control/command/restore.go
+++ b/control/command/restore.go
@@ -12,8 +12,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Restore makes a new group of one host from a backup. Identity and group are
-// new: what is restored can never vote in the group that it came from.
+// Restore creates a new group of one host from a backup. The replica gets a new
+// identity and group, so that it can never vote in the group of the backup.
 type Restore struct {
 	File    string `arg:"" help:"Backup." type:"existingfile"`
 	Data    string `arg:"" help:"Data folder to make; it must be empty."`
@@ -21,7 +21,7 @@
 	Address string `help:"Address of the host for the other control hosts." required:""`
 }
 
-// Run makes the data folder.
+// Run creates the data folder.
 func (c *Restore) Run(w io.Writer) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
--- a/control/disk/disk.go
+++ b/control/disk/disk.go
@@ -1,11 +1,12 @@
-// Package disk keeps a replica's durable state in one data folder: its
+// Package disk stores a replica's durable state in one data folder: its
 // identity, its term and vote, the entries of its log, and snapshots.
 //
-// The log is a chain of segment files. A record carries its length, a sequence
-// number and a checksum. What follows the last whole record of the last
-// segment is the tail of a write that a crash cut short and is cut off; damage
-// anywhere else is refused with file and offset. A failed write or sync is
-// final: what the file holds is then unknown, so nothing is written any more.
+// The log is a write-ahead log in a sequence of segment files. A record carries
+// its length, a sequence number and a checksum. Bytes after the last complete
+// record of the last segment are a torn write, left by a crash, and are
+// truncated when the folder is opened; corruption anywhere else is an error
+// that names file and offset. After a failed write or sync the content of the
+// file is unknown, so the store rejects all further writes.
 //
 // Usage:
 //
@@ -13,7 +14,7 @@
 //	defer store.Close()
 //	err = store.Write(vote, entries)   // one sync
 //	err = store.SaveSnapshot(snapshot) // from any goroutine
-//	err = store.Truncate(index)
+//	err = store.Compact(index)
 package disk
 
 import (
@@ -26,37 +27,37 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// ErrFailed means that an earlier write or sync failed and that this store
-// writes nothing any more.
-var ErrFailed = errors.New("the disk failed earlier, nothing is written any more")
+// ErrFailed means that an earlier write or sync failed and that the store
+// rejects all further writes.
+var ErrFailed = errors.New("an earlier write or sync failed, the store is read-only")
 
-// ErrEmpty means that a folder holds no replica yet.
-var ErrEmpty = errors.New("the data folder holds no replica")
+// ErrEmpty means that a folder contains no replica yet.
+var ErrEmpty = errors.New("the data folder contains no replica")
 
 // File is an open file of a data folder.
 type File interface {
 	io.Reader
 	io.Writer
 	io.Closer
-	// Sync makes what was written durable.
+	// Sync makes all earlier writes durable.
 	Sync() error
-	// Truncate cuts the file.
+	// Truncate shortens the file to a size.
 	Truncate(size int64) error
 }
 
-// Folder is a data folder. Names are without a path.
+// Folder is a data folder. File names contain no path.
 type Folder interface {
-	// Lock takes the folder for this process, until the result is closed.
+	// Lock locks the folder for this process until the result is closed.
 	Lock() (io.Closer, error)
-	// Open opens a file to read it from its start and to write at its end.
+	// Open opens a file for reading from its start and for appending.
 	Open(name string) (File, error)
-	// Create makes an empty file.
+	// Create creates an empty file.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Names lists the files in order.
+	// Names lists the files in lexical order.
 	Names() ([]string, error)
-	// Sync makes created, renamed and removed names durable.
+	// Sync makes the creation, renaming and removal of files durable.
 	Sync() error
 }
 
@@ -65,7 +66,7 @@
 	folder   Folder
 	lock     io.Closer
 	identity atomic.Pointer[wire.ReplicaIdentity]
-	maxBytes int64 // size at which a segment is closed
+	maxBytes int64 // size at which the log rotates to a new segment
 
 	mu       sync.Mutex
 	failed   error
@@ -73,19 +74,19 @@
 	size     int64
 	sequence uint64 // of the last record
 	vote     *wire.SavedVote
-	segments []segment // oldest first, the last one is written
+	segments []segment // oldest first; records are appended to the last one
 }
 
-// defaultSegmentBytes is the size at which a segment is closed.
+// defaultSegmentBytes is the size at which the log rotates to a new segment.
 const defaultSegmentBytes = 8 << 20
 
-// Option changes how a store works.
+// Option configures a store.
 type Option func(*Store)
 
-// WithSegmentBytes sets the size at which a segment is closed.
+// WithSegmentBytes sets the size at which the log rotates to a new segment.
 func WithSegmentBytes(n int64) Option { return func(s *Store) { s.maxBytes = n } }
 
-// Create makes a new replica in an empty folder.
+// Create initializes a new replica in an empty folder.
 func Create(folder Folder, identity *wire.ReplicaIdentity, opts ...Option) (*Store, error) {
 	s, err := lockFolder(folder, opts)
 	if err != nil {
@@ -105,10 +106,10 @@
 	}
 	for _, name := range names {
 		if name == identityName {
-			return errors.New("the data folder holds a replica already")
+			return errors.New("the data folder already contains a replica")
 		}
-		// Left by a creation that did not finish: without an identity no
-		// replica has ever used them.
+		// Files of an interrupted creation: the identity is written last, so
+		// without one no replica has used them.
 		if name != lockName {
 			if err := s.folder.Remove(name); err != nil {
 				return errors.Wrap(err, "clear data folder")
@@ -126,7 +127,7 @@
 	return s.saveIdentity(identity)
 }
 
-// Open reads the replica of a folder. ErrEmpty is returned if there is none.
+// Open opens the replica of a folder. It returns ErrEmpty if there is none.
 func Open(folder Folder, opts ...Option) (*Store, quorum.PersistentState, error) {
 	s, err := lockFolder(folder, opts)
 	if err != nil {
@@ -156,14 +157,14 @@
 // Identity returns the replica's identity.
 func (s *Store) Identity() *wire.ReplicaIdentity { return s.identity.Load() }
 
-// Err returns the failure that stopped the store, or nil.
+// Err returns the error after which the store rejects writes, or nil.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
 }
 
-// Close closes the files and gives the folder free.
+// Close closes the files and releases the lock of the folder.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,9 +178,9 @@
 	return s.lock.Close()
 }
 
-// fail records the first failure; every later write is refused.
-func (s *Store) fail(err error, doing string) error {
-	err = errors.Wrap(err, doing)
+// fail records the first failure, after which the store rejects writes.
+func (s *Store) fail(err error, action string) error {
+	err = errors.Wrap(err, action)
 	if s.failed == nil {
 		s.failed = err
 	}
--- a/control/disk/disk_test.go
+++ b/control/disk/disk_test.go
@@ -78,7 +78,7 @@
 	must.ErrorIs(t, err, disk.ErrEmpty)
 }
 
-// fill writes enough for several segments.
+// fill writes enough entries for several segments.
 func fill(t must.T, s *disk.Store) {
 	t.Helper()
 	for n := range uint64(60) {
@@ -236,7 +236,8 @@
 	s := newStore(t, folder)
 	must.NoError(t, s.Write(&wire.SavedVote{Term: 4, Vote: "two"}, entries(4, 1, 2, 3)))
 	must.NoError(t, s.Close())
-	// The crash left the next segment without its first record.
+	// A crash after the creation of the next segment leaves it empty. The vote
+	// must then still be read from the earlier segment.
 	folder.Put("log-0000000000000006", nil)
 	again, saved := reopen(t, folder)
 	must.Eq(t, "two", saved.Vote.GetVote())
@@ -246,7 +247,8 @@
 	must.Eq(t, "1/4 2/4 3/4", terms(saved))
 }
 
-// A creation that a crash cut short leaves either nothing or a replica.
+// A crash during the creation of a replica must leave either an empty folder,
+// in which a replica can be created, or a complete replica.
 func TestCreationSurvivesACrash(t *testing.T) {
 	for kept := range 200 {
 		folder := memory.New()
--- a/control/disk/load.go
+++ b/control/disk/load.go
@@ -7,31 +7,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// CorruptionError is a place in a file that cannot be read and is no torn tail.
+// CorruptionError reports a corrupt place in a file that is not a torn write.
 type CorruptionError struct {
 	file   string
 	offset int
 	reason string
 }
 
-// Error names file and offset.
+// Error describes the corruption with file and offset.
 func (d *CorruptionError) Error() string {
 	return errors.Errorf("file %s is damaged at offset %d: %s", d.file, d.offset, d.reason).Error()
 }
 
-// File returns the damaged file's name.
+// File returns the corrupt file's name.
 func (d *CorruptionError) File() string { return d.file }
 
-// Offset returns the offset of the damage.
+// Offset returns the offset of the corruption.
 func (d *CorruptionError) Offset() int { return d.offset }
 
-// replay collects what the records of the log say.
+// replay is the state that results from replaying the records of the log.
 type replay struct {
 	vote    *wire.SavedVote
 	entries []*wire.LogEntry
 }
 
-// load reads the whole folder; with repair a torn tail is cut off.
+// load reads the whole folder; with repair it truncates a torn tail.
 func (s *Store) load(repair bool) (quorum.PersistentState, error) {
 	if err := s.loadIdentity(); err != nil {
 		return quorum.PersistentState{}, err
@@ -74,7 +74,7 @@
 	}
 	r, ok := parseRecord(data)
 	if !ok {
-		return &CorruptionError{file: identityName, reason: "the checksum does not fit"}
+		return &CorruptionError{file: identityName, reason: "the checksum does not match"}
 	}
 	identity := &wire.ReplicaIdentity{}
 	if err := proto.Unmarshal(r.payload, identity); err != nil {
@@ -103,17 +103,17 @@
 			return err
 		}
 	}
-	// A new segment starts with the vote, so it must be known by now.
+	// Set before openLast, which may rotate: a new segment starts with the vote.
 	s.vote = r.vote
 	return s.openLast(repair)
 }
 
 func (s *Store) loadSegment(r *replay, n int, repair bool) error {
-	one := &s.segments[n]
-	if one.first != s.sequence+1 {
-		return &CorruptionError{file: one.name, reason: errors.Errorf("record %d should come first: a segment is missing", s.sequence+1).Error()}
+	seg := &s.segments[n]
+	if seg.first != s.sequence+1 {
+		return &CorruptionError{file: seg.name, reason: errors.Errorf("record %d should come first: a segment is missing", s.sequence+1).Error()}
 	}
-	data, err := s.readFile(one.name)
+	data, err := s.readFile(seg.name)
 	if err != nil {
 		return err
 	}
@@ -125,23 +125,23 @@
 			break
 		}
 		if err := r.apply(rec); err != nil {
-			return &CorruptionError{file: one.name, offset: offset, reason: err.Error()}
+			return &CorruptionError{file: seg.name, offset: offset, reason: err.Error()}
 		}
 		s.sequence = rec.sequence
 		offset += rec.encodedSize()
 	}
-	one.lastIndex = r.lastIndex(s.segments[:n])
+	seg.lastIndex = r.lastIndex(s.segments[:n])
 	s.size = int64(offset)
 	if offset == len(data) && (offset > 0 || last) {
 		return nil
 	}
 	if at, found := findLaterRecord(data, offset, s.sequence); found {
-		return &CorruptionError{file: one.name, offset: offset, reason: errors.Errorf("a whole record follows at offset %d", at).Error()}
+		return &CorruptionError{file: seg.name, offset: offset, reason: errors.Errorf("a whole record follows at offset %d", at).Error()}
 	}
 	if !last {
-		return &CorruptionError{file: one.name, offset: offset, reason: "segments follow"}
+		return &CorruptionError{file: seg.name, offset: offset, reason: "segments follow"}
 	}
-	return s.truncateTail(one.name, int64(offset), repair)
+	return s.truncateTail(seg.name, int64(offset), repair)
 }
 
 func (s *Store) truncateTail(name string, size int64, repair bool) error {
@@ -156,14 +156,14 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
-	return errors.Wrap(err, "cut torn tail of "+name)
+	return errors.Wrap(err, "truncate torn tail of "+name)
 }
 
-// openLast opens the last segment for writing; one that a crash left empty is
-// made anew.
+// openLast opens the last segment for appending. A segment that a crash left
+// empty is created again.
 func (s *Store) openLast(repair bool) error {
 	if !repair {
 		return nil
@@ -196,7 +196,7 @@
 		}
 		return r.applyEntry(e)
 	}
-	return errors.Errorf("record %d has the unknown kind %d", rec.sequence, rec.kind)
+	return errors.Errorf("record %d has unknown kind %d", rec.sequence, rec.kind)
 }
 
 func (r *replay) applyEntry(e *wire.LogEntry) error {
@@ -228,7 +228,7 @@
 	return last
 }
 
-// entriesAfter returns the entries that follow a snapshot.
+// entriesAfter returns the entries after the index of a snapshot.
 func (r *replay) entriesAfter(snapshot *wire.LogSnapshot) ([]*wire.LogEntry, error) {
 	if len(r.entries) == 0 {
 		return nil, nil
@@ -242,7 +242,7 @@
 	}
 	rest := r.entries[index+1-first:]
 	if index >= first && r.entries[index-first].GetTerm() != snapshot.GetTerm() {
-		// The snapshot came from a leader whose log replaces this one.
+		// The snapshot was installed by a leader whose log replaces this one.
 		return nil, nil
 	}
 	return rest, nil
--- a/control/disk/memory/file.go
+++ b/control/disk/memory/file.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// errCrashed is what a file gives that was opened before a crash.
+// errCrashed is the error of a file that was opened before a crash.
 var errCrashed = errors.New("the file was open when the folder crashed")
 
 type file struct {
@@ -17,7 +17,7 @@
 	crashes int
 }
 
-// Read reads on from the start.
+// Read reads from the current read offset, at first the start.
 func (f *file) Read(p []byte) (int, error) {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
@@ -29,7 +29,7 @@
 	return n, nil
 }
 
-// Write appends.
+// Write appends to the file, up to the free space of the folder.
 func (f *file) Write(p []byte) (int, error) {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Truncate cuts the file.
+// Truncate shortens the file to a size.
 func (f *file) Truncate(size int64) error {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
--- a/control/disk/memory/memory.go
+++ b/control/disk/memory/memory.go
@@ -1,5 +1,6 @@
-// Package memory is a data folder in memory that forgets, like a disk after a
-// power failure, what was not synced. It fails on demand.
+// Package memory implements a data folder in memory for tests. A simulated
+// crash discards data that was not synced, as a power failure does on a disk.
+// Write errors, sync errors and a full disk can be injected.
 //
 // Usage:
 //
@@ -21,16 +22,16 @@
 // Folder is a data folder in memory.
 type Folder struct {
 	mu        sync.Mutex
-	names     map[string]*fileContent // as the process sees them
-	durable   map[string]*fileContent // as they are after a crash
+	names     map[string]*fileContent // as the running process sees them
+	durable   map[string]*fileContent // as a process sees them after a crash
 	locked    bool
 	crashes   int
 	writeErr  error
 	syncErr   error
-	freeBytes int // bytes until the disk is full, negative without limit
+	freeBytes int // until the disk is full; negative: unlimited
 }
 
-// fileContent is one file.
+// fileContent is the content of one file.
 type fileContent struct {
 	data   []byte
 	synced []byte
@@ -41,8 +42,8 @@
 	return &Folder{names: map[string]*fileContent{}, durable: map[string]*fileContent{}, freeBytes: -1}
 }
 
-// Crash forgets what was not synced. Of the bytes appended to a file since its
-// last sync, keep decides how many survive.
+// Crash discards what was not synced. keep returns how many of the bytes that
+// were appended to a file since its last sync survive.
 func (f *Folder) Crash(keep func(unsynced int) int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,13 +61,14 @@
 	f.crashes++
 }
 
-// FailWrites makes each further write fail.
+// FailWrites makes writes fail with an error until it is set to nil.
 func (f *Folder) FailWrites(err error) { f.mu.Lock(); f.writeErr = err; f.mu.Unlock() }
 
-// FailSyncs makes each further sync fail.
+// FailSyncs makes syncs fail with an error until it is set to nil.
 func (f *Folder) FailSyncs(err error) { f.mu.Lock(); f.syncErr = err; f.mu.Unlock() }
 
-// SetFreeSpace sets how many bytes can still be written.
+// SetFreeSpace sets how many bytes can still be written; a negative number
+// sets no limit.
 func (f *Folder) SetFreeSpace(bytes int) { f.mu.Lock(); f.freeBytes = bytes; f.mu.Unlock() }
 
 // Corrupt flips the bits of one byte of a file.
@@ -90,7 +92,7 @@
 	crashes int
 }
 
-// Close gives the folder free.
+// Close releases the lock unless a crash has already released it.
 func (l *lock) Close() error {
 	l.folder.mu.Lock()
 	defer l.folder.mu.Unlock()
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// Lock takes the folder until the lock is closed or the folder crashes.
+// Lock locks the folder until the lock is closed or the folder crashes.
 func (f *Folder) Lock() (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,12 +119,12 @@
 	defer f.mu.Unlock()
 	c, ok := f.names[name]
 	if !ok {
-		return nil, errors.Errorf("there is no file %s", name)
+		return nil, errors.Errorf("file %s does not exist", name)
 	}
 	return &file{folder: f, content: c, crashes: f.crashes}, nil
 }
 
-// Create makes an empty file.
+// Create creates an empty file.
 func (f *Folder) Create(name string) (disk.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,13 +136,13 @@
 	return &file{folder: f, content: c, crashes: f.crashes}, nil
 }
 
-// Rename renames a file over another.
+// Rename renames a file and replaces an existing one.
 func (f *Folder) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c, ok := f.names[from]
 	if !ok {
-		return errors.Errorf("there is no file %s", from)
+		return errors.Errorf("file %s does not exist", from)
 	}
 	delete(f.names, from)
 	f.names[to] = c
@@ -155,14 +157,14 @@
 	return nil
 }
 
-// Names lists the files in order.
+// Names lists the files in lexical order.
 func (f *Folder) Names() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.names)), nil
 }
 
-// Sync makes the names durable.
+// Sync makes the creation, renaming and removal of files durable.
 func (f *Folder) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,18 +175,18 @@
 	return nil
 }
 
-// Content returns a copy of a file.
+// Content returns a copy of the content of a file.
 func (f *Folder) Content(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c, ok := f.names[name]
 	if !ok {
-		return nil, errors.Errorf("there is no file %s", name)
+		return nil, errors.Errorf("file %s does not exist", name)
 	}
 	return slices.Clone(c.data), nil
 }
 
-// Put replaces a file, durably.
+// Put replaces the content of a file durably.
 func (f *Folder) Put(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/disk/read.go
+++ b/control/disk/read.go
@@ -5,7 +5,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Contents is what a data folder holds, read without changing it.
+// Contents is a read-only view of a data folder.
 type Contents struct {
 	identity *wire.ReplicaIdentity
 	saved    quorum.PersistentState
@@ -16,17 +16,17 @@
 // Identity returns the replica's identity.
 func (c *Contents) Identity() *wire.ReplicaIdentity { return c.identity }
 
-// PersistentState returns vote, snapshot and entries.
+// PersistentState returns the vote, the snapshot and the entries after it.
 func (c *Contents) PersistentState() quorum.PersistentState { return c.saved }
 
-// Segments returns the names of the log's files, oldest first.
+// Segments returns the names of the log's segments, oldest first.
 func (c *Contents) Segments() []string { return c.segments }
 
-// Records returns how many whole records the log's files hold.
+// Records returns the number of complete records in the log's segments.
 func (c *Contents) Records() uint64 { return c.records }
 
-// Read reads a folder without a lock and without cutting off a torn tail, so
-// that the folder of a running host can be read too.
+// Read reads a folder without locking it and without truncating a torn tail,
+// so that the folder of a running host can be read too.
 func Read(folder Folder) (*Contents, error) {
 	s := &Store{folder: folder}
 	saved, err := s.load(false)
@@ -34,15 +34,15 @@
 		return nil, err
 	}
 	c := &Contents{identity: s.Identity(), saved: saved, records: s.sequence - s.segments[0].first + 1}
-	for _, one := range s.segments {
-		c.segments = append(c.segments, one.name)
+	for _, seg := range s.segments {
+		c.segments = append(c.segments, seg.name)
 	}
 	return c, nil
 }
 
-// CreateFrom makes a new replica in an empty folder that starts from a
-// snapshot. The identity is written last: a creation that a crash cut short
-// leaves no replica.
+// CreateFrom initializes a new replica in an empty folder from a snapshot. The
+// identity is written last, so a creation that a crash interrupts leaves no
+// replica.
 func CreateFrom(folder Folder, identity *wire.ReplicaIdentity, snapshot *wire.LogSnapshot, opts ...Option) (*Store, error) {
 	s, err := lockFolder(folder, opts)
 	if err != nil {
--- a/control/disk/record.go
+++ b/control/disk/record.go
@@ -5,16 +5,16 @@
 	"hash/crc32"
 )
 
-// kind says what a record holds.
+// kind is the type of a record.
 type kind byte
 
 const (
 	kindVote  kind = 1 // SavedVote
-	kindEntry kind = 2 // LogEntry; replaces all entries from its index on
-	kindReset kind = 3 // LogSnapshot without state: all entries before are void
+	kindEntry kind = 2 // LogEntry; replaces all entries from its index onwards
+	kindReset kind = 3 // LogSnapshot without state; discards all earlier entries
 )
 
-// Bounds and layout of a record: length, checksum, sequence, kind, payload.
+// Sizes of a record. Its layout is length, checksum, sequence, kind, payload.
 const (
 	headerBytes     = 4 + 4 + 8 + 1
 	maxPayloadBytes = 512 << 20
@@ -38,7 +38,7 @@
 	return buf
 }
 
-// putHeader fills in the header before a payload.
+// putHeader fills in the header of a record whose payload is in place.
 func putHeader(raw []byte, sequence uint64, k kind) []byte {
 	binary.LittleEndian.PutUint32(raw, uint32(len(raw)-headerBytes))
 	binary.LittleEndian.PutUint64(raw[8:], sequence)
@@ -47,13 +47,13 @@
 	return raw
 }
 
-// checksum covers the length and everything after the checksum itself.
+// checksum covers the whole record except the checksum field itself.
 func checksum(raw []byte) uint32 {
 	sum := crc32.Update(0, castagnoli, raw[:4])
 	return crc32.Update(sum, castagnoli, raw[8:])
 }
 
-// parseRecord reads the record at the start of data.
+// parseRecord decodes the record at the start of data.
 func parseRecord(data []byte) (record, bool) {
 	if len(data) < headerBytes {
 		return record{}, false
@@ -73,8 +73,9 @@
 	}, true
 }
 
-// findLaterRecord looks for a whole record behind a damaged place and returns its
-// offset. Such a record shows that the damage is no torn tail.
+// findLaterRecord searches for a complete record after an invalid one and
+// returns its offset. Such a record shows that the invalid one is corrupt and
+// not a torn write at the end of the log.
 func findLaterRecord(data []byte, from int, sequence uint64) (int, bool) {
 	for at := from + 1; at+headerBytes <= len(data); at++ {
 		if binary.LittleEndian.Uint64(data[at+8:])-sequence > uint64(len(data)) {
--- a/control/disk/segment.go
+++ b/control/disk/segment.go
@@ -38,7 +38,8 @@
 	return n, name == fmt.Sprintf("%s%016x", prefix, n)
 }
 
-// rotate starts a new segment with the vote, so that older ones can go.
+// rotate starts a new segment with the vote, so that older segments can be
+// removed.
 func (s *Store) rotate() error {
 	if s.file != nil {
 		if err := s.file.Close(); err != nil {
@@ -65,12 +66,12 @@
 func (s *Store) voteRecord() record {
 	payload, err := proto.Marshal(s.vote)
 	if err != nil {
-		panic("disk: a vote cannot be encoded: " + err.Error())
+		panic("disk: encode vote: " + err.Error())
 	}
 	return record{kind: kindVote, payload: payload}
 }
 
-// append writes records with one write and one sync.
+// append appends records with one write and one sync.
 func (s *Store) append(records ...record) error {
 	var buf []byte
 	for _, r := range records {
@@ -105,7 +106,8 @@
 	return data, errors.Wrap(err, "read "+name)
 }
 
-// replaceFile writes a whole file so that a crash leaves the old or the new.
+// replaceFile writes a file atomically: a crash leaves either the old or the
+// new content.
 func (s *Store) replaceFile(name string, data []byte) error {
 	file, err := s.folder.Create(name + temporarySuffix)
 	if err != nil {
@@ -115,8 +117,8 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = s.folder.Rename(name+temporarySuffix, name)
--- a/control/disk/snapshot.go
+++ b/control/disk/snapshot.go
@@ -21,24 +21,24 @@
 	return putHeader(buf, snapshot.GetIndex(), 0), nil
 }
 
-// DecodeSnapshot reads the content of a snapshot file.
+// DecodeSnapshot decodes the content of a snapshot file.
 func DecodeSnapshot(data []byte) (*wire.LogSnapshot, error) {
 	r, ok := parseRecord(data)
 	if !ok {
-		return nil, errors.New("the checksum does not fit")
+		return nil, errors.New("the checksum does not match")
 	}
 	snapshot := &wire.LogSnapshot{}
 	if err := proto.Unmarshal(r.payload, snapshot); err != nil {
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
 	if snapshot.GetIndex() != r.sequence {
-		return nil, errors.Errorf("the snapshot is of index %d, its record of %d", snapshot.GetIndex(), r.sequence)
+		return nil, errors.Errorf("the snapshot has index %d, its record has %d", snapshot.GetIndex(), r.sequence)
 	}
 	return snapshot, nil
 }
 
 // SaveSnapshot makes a snapshot durable and removes older ones. It may run
-// beside Write.
+// concurrently with Write.
 func (s *Store) SaveSnapshot(snapshot *wire.LogSnapshot) error {
 	if err := s.Err(); err != nil {
 		return errors.Wrap(ErrFailed, err.Error())
@@ -88,7 +88,7 @@
 	return indexes, nil
 }
 
-// Snapshot reads the newest snapshot, nil if there is none.
+// Snapshot reads the newest snapshot. It returns nil if there is none.
 func (s *Store) Snapshot() (*wire.LogSnapshot, error) {
 	indexes, err := s.snapshotIndexes()
 	if err != nil || len(indexes) == 0 {
@@ -103,7 +103,7 @@
 	return snapshot, errors.Wrapf(err, "snapshot %s is damaged at offset 0", name)
 }
 
-// removeTemporary removes what interrupted writes left.
+// removeTemporary removes the temporary files of interrupted writes.
 func (s *Store) removeTemporary() error {
 	names, err := s.folder.Names()
 	if err != nil {
--- a/control/disk/write.go
+++ b/control/disk/write.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Write makes a vote and entries durable with one sync. Both may be missing.
-// The entries replace all entries from the first one's index on.
+// Write makes a vote and entries durable with one sync. Both are optional. The
+// entries replace all entries from the first one's index onwards.
 func (s *Store) Write(vote *wire.SavedVote, entries []*wire.LogEntry) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	return s.rotate()
 }
 
-// InstallSnapshot replaces log and state by a snapshot of the leader.
+// InstallSnapshot replaces the log and the state by the leader's snapshot.
 func (s *Store) InstallSnapshot(snapshot *wire.LogSnapshot) error {
 	if err := s.SaveSnapshot(snapshot); err != nil {
 		return err
@@ -52,15 +52,15 @@
 	if s.failed != nil {
 		return errors.Wrap(ErrFailed, s.failed.Error())
 	}
-	mark := &wire.LogSnapshot{Index: snapshot.GetIndex(), Term: snapshot.GetTerm()}
-	payload, err := proto.Marshal(mark)
+	marker := &wire.LogSnapshot{Index: snapshot.GetIndex(), Term: snapshot.GetTerm()}
+	payload, err := proto.Marshal(marker)
 	if err != nil {
 		return s.fail(err, "encode reset")
 	}
 	return s.append(record{kind: kindReset, payload: payload})
 }
 
-// Compact removes segments whose entries a durable snapshot covers.
+// Compact removes the segments whose entries a durable snapshot covers.
 func (s *Store) Compact(snapshotIndex uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,12 +96,12 @@
 	return nil
 }
 
-// JoinGroup records the group that the replica belongs to. It never changes
-// again.
+// JoinGroup stores the group that the replica belongs to. It can be set only
+// once.
 func (s *Store) JoinGroup(group string) error {
-	own := s.Identity()
-	if own.GetGroup() != "" {
-		return errors.Errorf("the replica belongs to group %s already", own.GetGroup())
+	identity := s.Identity()
+	if identity.GetGroup() != "" {
+		return errors.Errorf("the replica already belongs to group %s", identity.GetGroup())
 	}
-	return s.saveIdentity(&wire.ReplicaIdentity{Identity: own.GetIdentity(), Name: own.GetName(), Group: group})
+	return s.saveIdentity(&wire.ReplicaIdentity{Identity: identity.GetIdentity(), Name: identity.GetName(), Group: group})
 }
--- a/control/prometheus/prometheus.go
+++ b/control/prometheus/prometheus.go
@@ -1,4 +1,4 @@
-// Package prometheus writes a control host's metrics in the Prometheus text
+// Package prometheus exports a control host's metrics in the Prometheus text
 // format.
 //
 // Usage:
@@ -20,7 +20,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Exporter writes metrics.
+// Exporter exports a control host's metrics.
 type Exporter struct {
 	log     agreement.Log
 	machine *state.Machine
@@ -32,11 +32,11 @@
 	return &Exporter{log: log, machine: machine, hosts: hosts}
 }
 
-// ServeHTTP answers a scrape.
+// ServeHTTP serves a scrape.
 func (e *Exporter) ServeHTTP(w http.ResponseWriter, _ *http.Request) { e.Write(w) }
 
-// Write writes all metrics: this host's, those that packages registered, and
-// those of the process.
+// Write writes all metrics: those of this host, those registered by packages,
+// and those of the process.
 func (e *Exporter) Write(w io.Writer) {
 	status := e.log.Status()
 	metrics.WriteGaugeUint64(w, "snipebeam_quorum", boolValue(status.Quorum()))
@@ -60,7 +60,8 @@
 	metrics.WriteGaugeUint64(w, "snipebeam_member_match_index"+label, m.GetMatchIndex())
 }
 
-// writeHosts counts the reporting hosts by state, and those behind.
+// writeHosts writes the number of hosts by state, and the number of hosts that
+// report an older version than the one in force.
 func (e *Exporter) writeHosts(w io.Writer, version uint64) {
 	byState := map[string]uint64{}
 	behind := uint64(0)
--- a/control/schedule/attempt.go
+++ b/control/schedule/attempt.go
@@ -7,8 +7,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Operation is one request of a client with what the client saw. A request
-// whose outcome is not known has no end.
+// Operation is one request of a client and its result, as an entry of the
+// history whose linearizability is checked. A request without a response has no
+// end, and its outcome is unknown.
 type Operation struct {
 	start     int
 	end       int
@@ -18,25 +19,25 @@
 	version   uint64
 }
 
-// Start returns when the request was sent.
+// Start returns the time at which the request was sent.
 func (o Operation) Start() int { return o.start }
 
-// End returns when the answer came.
+// End returns the time at which the response was received.
 func (o Operation) End() int { return o.end }
 
-// Completed reports whether an answer came.
+// Completed reports whether a response was received.
 func (o Operation) Completed() bool { return o.completed }
 
 // Command returns the request, nil for a confirmed read.
 func (o Operation) Command() *wire.Command { return o.cmd }
 
-// Result returns the answer, nil for a confirmed read.
+// Result returns the response, nil for a confirmed read.
 func (o Operation) Result() *wire.Result { return o.result }
 
-// Version returns what a confirmed read gave.
+// Version returns the version that a confirmed read returned.
 func (o Operation) Version() uint64 { return o.version }
 
-// attempt is one sending of a request.
+// attempt is one transmission of a request.
 type attempt struct {
 	cmd        *wire.Command
 	term       uint64
@@ -44,13 +45,14 @@
 	running    bool
 	finished   bool
 	abandoned  bool
-	minVersion uint64 // newest version that was accepted before a read
+	minVersion uint64 // of a read: newest version that any client had seen before it
 	onResult   func(result *wire.Result)
 	onUnknown  func()
 	result     *wire.Result
 }
 
-// start proposes at a host that believes it leads.
+// start proposes the command at a host. It does nothing if the host is not a
+// leader.
 func (a *attempt) start(sim *Simulation, h *host) {
 	data, err := proto.Marshal(a.cmd)
 	if err != nil {
@@ -92,7 +94,7 @@
 func (a *attempt) completeRead(sim *Simulation, version uint64) {
 	sim.record(Operation{start: a.started, end: sim.now, completed: true, version: version})
 	if version < a.minVersion {
-		sim.violate(MonotonicReads, fmt.Sprintf("a confirmed read gave version %d, version %d was accepted before", version, a.minVersion))
+		sim.violate(MonotonicReads, fmt.Sprintf("a confirmed read returned version %d after version %d was observed", version, a.minVersion))
 	}
 	sim.clients.observeVersion(version)
 }
--- a/control/schedule/clients.go
+++ b/control/schedule/clients.go
@@ -6,24 +6,24 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// clients are the operators and entry hosts of a run.
+// clients simulates the operators and entry hosts of a run.
 type clients struct {
-	next           int
-	newestVersion  uint64 // newest version that any client knows of
+	lastID         int
+	newestVersion  uint64 // newest version that any client has seen
 	submissions    []*wire.SubmitRequest
 	firstResponses map[string]*wire.SubmitResponse // by submission id
-	holders        []*holder
-	dispatched     map[string]string // key to claim id
-	nextRead       uint64
+	claimants      []*claimant
+	dispatchedBy   map[string]string // key to claim id
+	lastReadID     uint64
 }
 
 func newClients() *clients {
-	return &clients{firstResponses: map[string]*wire.SubmitResponse{}, dispatched: map[string]string{}}
+	return &clients{firstResponses: map[string]*wire.SubmitResponse{}, dispatchedBy: map[string]string{}}
 }
 
 func (c *clients) observeVersion(n uint64) { c.newestVersion = max(c.newestVersion, n) }
 
-// randomRequest does one thing that a client may do.
+// randomRequest sends one random request, in two of three cases to the leader.
 func (c *clients) randomRequest(sim *Simulation) {
 	h := sim.randomHost()
 	if leader := sim.leader(); leader != nil && sim.source.Int(3) > 0 {
@@ -40,16 +40,16 @@
 	case 3, 4:
 		c.claim(sim, h)
 	case 5:
-		c.finishHolder(sim, h)
+		c.advanceClaimant(sim, h)
 	case 6:
 		c.read(sim, h)
 	}
 }
 
 func (c *clients) submit(sim *Simulation, h *host) {
-	c.next++
+	c.lastID++
 	req := &wire.SubmitRequest{
-		SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), Author: "operator",
+		SubmissionId: fmt.Sprintf("submission-%d", c.lastID), Text: fmt.Sprintf("text %d", c.lastID), Author: "operator",
 		BaseVersion: c.newestVersion - min(c.newestVersion, uint64(sim.source.Int(5)/4)),
 	}
 	c.submissions = append(c.submissions, req)
@@ -68,7 +68,7 @@
 	a.start(sim, h)
 }
 
-// wallClock jumps far ahead and back.
+// wallClock returns a wall-clock time that jumps far forwards and backwards.
 func (sim *Simulation) wallClock() int64 { return int64(sim.now) + int64(sim.source.Int(3)-1)*(1<<50) }
 
 func (c *clients) handleSubmit(sim *Simulation, req *wire.SubmitRequest, got *wire.SubmitResponse) {
@@ -86,14 +86,14 @@
 }
 
 func (c *clients) read(sim *Simulation, h *host) {
-	c.nextRead++
+	c.lastReadID++
 	a := &attempt{started: sim.now, minVersion: c.newestVersion}
-	h.reads[c.nextRead] = a
-	h.replica.ReadIndex(c.nextRead)
+	h.reads[c.lastReadID] = a
+	h.replica.ReadIndex(c.lastReadID)
 	h.flush()
 }
 
-// checkAccepted looks for every accepted submission on a host.
+// checkAccepted checks that a host has every accepted submission.
 func (c *clients) checkAccepted(sim *Simulation, h *host) {
 	for id, response := range c.firstResponses {
 		if !response.GetAccepted() {
--- a/control/schedule/directed.go
+++ b/control/schedule/directed.go
@@ -6,14 +6,14 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Converge lets time pass until all voters hold the same log.
+// Converge runs without further events until all voters have the same log.
 func (sim *Simulation) Converge() bool { return sim.RunUntil(sim.converged) }
 
-// Submit submits a rules file and waits until it is accepted.
+// Submit submits a rules file at the leader and reports whether it is accepted.
 func (sim *Simulation) Submit() bool {
 	c := sim.clients
-	c.next++
-	req := &wire.SubmitRequest{SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), BaseVersion: c.newestVersion}
+	c.lastID++
+	req := &wire.SubmitRequest{SubmissionId: fmt.Sprintf("submission-%d", c.lastID), Text: fmt.Sprintf("text %d", c.lastID), BaseVersion: c.newestVersion}
 	c.submissions = append(c.submissions, req)
 	a := &attempt{cmd: &wire.Command{Body: &wire.Command_Submit{Submit: req}}}
 	a.onResult = func(result *wire.Result) { c.handleSubmit(sim, req, result.GetSubmit()) }
@@ -21,18 +21,19 @@
 	return a.result.GetSubmit().GetAccepted()
 }
 
-// Claim claims a key for a holder that dispatches.
+// Claim claims a key and reports whether the claim is granted, in which case
+// it counts as dispatched.
 func (sim *Simulation) Claim(key string) bool {
-	one := sim.clients.newHolder(key)
-	a := &attempt{cmd: one.claimCommand(sim)}
+	cl := sim.clients.newClaimant(key)
+	a := &attempt{cmd: cl.claimCommand(sim)}
 	sim.propose(a)
 	if a.result.GetClaim().GetState() != wire.ClaimState_CLAIM_GRANTED {
 		return false
 	}
-	one.state = dispatched
-	sim.clients.dispatched[key] = one.claimID
+	cl.state = dispatched
+	sim.clients.dispatchedBy[key] = cl.claimID
 	return true
 }
 
-// CheckHealed checks what must hold once the group has healed.
+// CheckHealed checks the invariants of a healed group.
 func (sim *Simulation) CheckHealed() { sim.checkHealed() }
--- a/control/schedule/heal.go
+++ b/control/schedule/heal.go
@@ -7,14 +7,14 @@
 	"github.com/snipebeam/snipebeam/control/quorum"
 )
 
-// Bounds of the time after the faults.
+// Limits of a run without faults.
 const (
-	healRounds   = 600
-	roundDeliver = 400
+	healRounds         = 600
+	deliveriesPerRound = 400
 )
 
 // Heal ends all faults, starts every host that has a disk, and runs until all
-// of them hold the same log, or for a bounded time.
+// voters have the same log, or for a bounded time.
 func (sim *Simulation) Heal() {
 	sim.faults = false
 	sim.blocked = map[[2]string]bool{}
@@ -25,18 +25,19 @@
 		}
 	}
 	if !sim.RunUntil(func() bool { return sim.converged() }) {
-		sim.violate(Liveness, "the healed group does not settle: "+sim.describe())
+		sim.violate(Liveness, "the healed group does not converge: "+sim.describe())
 	}
 }
 
-// RunUntil lets time pass without further faults until a condition holds.
+// RunUntil ticks all hosts and delivers messages until a condition holds. It
+// reports false if that does not happen within a bounded time.
 func (sim *Simulation) RunUntil(condition func() bool) bool {
 	for range healRounds {
 		sim.now++
 		for _, h := range sim.hosts {
 			sim.tick(h)
 		}
-		for range roundDeliver {
+		for range deliveriesPerRound {
 			sim.deliver()
 		}
 		if condition() {
@@ -46,8 +47,8 @@
 	return false
 }
 
-// Repair adds, promotes and removes replicas until every host with a disk is a
-// voter.
+// Repair adds, promotes and removes replicas until exactly the hosts with a disk
+// are voters.
 func (sim *Simulation) Repair() bool {
 	return sim.RunUntil(func() bool {
 		if leader := sim.leader(); leader != nil && !sim.Repaired() {
@@ -58,7 +59,8 @@
 	})
 }
 
-// converged reports whether one leader is followed by all voters with equal logs.
+// converged reports whether there is a leader and all running voters have
+// applied its whole log.
 func (sim *Simulation) converged() bool {
 	leader := sim.leader()
 	if leader == nil || leader.replica.CommitIndex() != leader.replica.LastIndex() {
@@ -82,19 +84,19 @@
 			text += fmt.Sprintf("%s %s term %d commit %d last %d; ", h.id, h.replica.Role(), h.replica.Term(), h.replica.CommitIndex(), h.replica.LastIndex())
 			continue
 		}
-		text += fmt.Sprintf("%s down gone=%t; ", h.id, h.diskLost)
+		text += fmt.Sprintf("%s down diskLost=%t; ", h.id, h.diskLost)
 	}
 	return text
 }
 
-// checkHealed checks what must hold once the group has healed.
+// checkHealed checks the invariants of a healed group.
 func (sim *Simulation) checkHealed() {
 	if len(sim.report.violations) > 0 {
 		return
 	}
 	sim.clients.checkClaims(sim)
 	if !sim.RunUntil(sim.converged) {
-		sim.violate(Liveness, "the group does not settle after the last requests: "+sim.describe())
+		sim.violate(Liveness, "the group does not converge after the last requests: "+sim.describe())
 		return
 	}
 	sim.report.elections = len(sim.leaders)
@@ -106,13 +108,13 @@
 		}
 		got, _ := h.machine.Snapshot()
 		if !bytes.Equal(want, got) {
-			sim.violate(SameState, fmt.Sprintf("%s and %s differ", leader.id, h.id))
+			sim.violate(SameState, fmt.Sprintf("the states of %s and %s differ", leader.id, h.id))
 		}
 		sim.clients.checkAccepted(sim, h)
 	}
 }
 
-// propose proposes at the leader and runs until the outcome is known.
+// propose proposes a command at the leader and runs until its result is known.
 func (sim *Simulation) propose(a *attempt) {
 	sim.RunUntil(func() bool {
 		if a.finished {
@@ -124,6 +126,6 @@
 		return a.finished
 	})
 	if !a.finished {
-		sim.violate(Liveness, "a request of the healed group stays without answer")
+		sim.violate(Liveness, "a request to the healed group gets no response")
 	}
 }
--- a/control/schedule/host.go
+++ b/control/schedule/host.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// host is one data folder with the process that uses it.
+// host is a data folder and the simulated process that uses it.
 type host struct {
 	sim      *Simulation
 	name     string
@@ -25,7 +25,7 @@
 	replica  *quorum.Replica
 	machine  *state.Machine
 	up       bool
-	diskLost bool // the disk is lost, the identity never comes back
+	diskLost bool // the disk is lost, and the identity with it
 	pending  map[uint64]*attempt
 	reads    map[uint64]*attempt
 }
@@ -44,7 +44,7 @@
 	return h
 }
 
-// bootstrap writes the first membership.
+// bootstrap writes the initial membership as the first entry of the log.
 func (h *host) bootstrap(members []*wire.Member) {
 	first := &wire.LogEntry{Index: 1, Term: 1, Kind: wire.EntryKind_ENTRY_MEMBERS, Members: &wire.Members{Members: members}}
 	if err := h.store.Write(&wire.SavedVote{Term: 1}, []*wire.LogEntry{first}); err != nil {
@@ -54,7 +54,7 @@
 	h.start()
 }
 
-// start reads the folder as a process does when it starts.
+// start starts the process from the data folder.
 func (h *host) start() {
 	store, saved, err := disk.Open(h.folder, disk.WithSegmentBytes(segmentBytes))
 	if err != nil {
@@ -74,7 +74,7 @@
 	h.up = true
 }
 
-// crash stops the process and forgets what was not synced.
+// crash stops the process and discards a random part of what was not synced.
 func (h *host) crash() {
 	h.up = false
 	h.sim.report.crashes++
@@ -91,8 +91,8 @@
 	}
 }
 
-// flush does what the driver of a real host does, with crashes between any two
-// steps.
+// flush processes the output of the replica as a real host does, with crashes
+// between the steps.
 func (h *host) flush() {
 	for h.up {
 		out := h.replica.Take()
@@ -105,8 +105,8 @@
 		}
 		h.replica.Persisted()
 		h.sim.send(out.Messages())
-		if out.Vote() != nil && h.sim.fault(8) {
-			// A vote that was told must be known after the restart.
+		if out.Vote() != nil && h.sim.faultOneIn(8) {
+			// A vote that was sent must survive the restart.
 			h.crash()
 			return
 		}
@@ -114,16 +114,16 @@
 		for _, r := range out.Reads() {
 			h.answerRead(r)
 		}
-		h.observe()
+		h.checkLeadership()
 	}
 }
 
 func (h *host) write(out *quorum.Output) bool {
-	if h.sim.fault(120) {
+	if h.sim.faultOneIn(120) {
 		h.folder.FailSyncs(errPowerFailure)
 	}
 	err := h.save(out)
-	if err == nil && !h.sim.fault(300) {
+	if err == nil && !h.sim.faultOneIn(300) {
 		return true
 	}
 	h.crash()
@@ -192,8 +192,9 @@
 	a.completeRead(h.sim, version.GetNumber())
 }
 
-// observe checks what must hold at any moment.
-func (h *host) observe() {
+// checkLeadership abandons the proposals of a replica that is not the leader,
+// and checks that a term has at most one leader.
+func (h *host) checkLeadership() {
 	if h.replica.Role() != quorum.Leader {
 		h.abandonProposals()
 		return
@@ -205,8 +206,8 @@
 	sim.leaders[term] = h.id
 }
 
-// abandonProposals gives up proposals of a leadership that ended, always in the same
-// order.
+// abandonProposals records that the outcome of the pending proposals is unknown.
+// It sorts them by index because the order must not differ between runs.
 func (h *host) abandonProposals() {
 	for _, index := range slices.Sorted(maps.Keys(h.pending)) {
 		a := h.pending[index]
@@ -215,7 +216,7 @@
 	}
 }
 
-// snapshot saves the state and shortens the log.
+// snapshot saves a snapshot and compacts the log.
 func (h *host) snapshot(keepBytes int) {
 	if h.replica.AppliedIndex() == 0 {
 		return
@@ -227,7 +228,7 @@
 		return
 	}
 	s.State = data
-	if h.sim.fault(20) {
+	if h.sim.faultOneIn(20) {
 		h.folder.FailSyncs(errPowerFailure)
 	}
 	if err := h.store.SaveSnapshot(s); err != nil {
--- a/control/schedule/linearizability_test.go
+++ b/control/schedule/linearizability_test.go
@@ -12,10 +12,10 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// rulesObject stands for the accepted rules among the objects of a history.
+// rulesObject is the name of the accepted rules among the objects of a history.
 const rulesObject = "rules"
 
-// object returns which object an operation is about: the rules or one key.
+// object returns the object that an operation accesses: the rules or one key.
 func object(op schedule.Operation) string {
 	switch body := op.Command().GetBody().(type) {
 	case *wire.Command_Claim:
@@ -28,10 +28,10 @@
 	return rulesObject
 }
 
-// rulesModel is a register that is changed by compare-and-set.
+// rulesModel models the rules as a register with compare-and-set.
 type rulesModel struct {
 	version uint64
-	decided string // submissions with their results
+	results string // the results of all submissions
 }
 
 func (m rulesModel) step(op schedule.Operation) (bool, rulesModel) {
@@ -39,7 +39,7 @@
 	if req == nil {
 		return op.Version() == m.version, m
 	}
-	if _, rest, ok := strings.Cut(m.decided, req.GetSubmissionId()+"="); ok {
+	if _, rest, ok := strings.Cut(m.results, req.GetSubmissionId()+"="); ok {
 		first, _, _ := strings.Cut(rest, ";")
 		return !op.Completed() || first == outcome(op.Result().GetSubmit()), m
 	}
@@ -49,7 +49,7 @@
 		next.version++
 		want = &wire.SubmitResponse{Accepted: true, Version: &wire.Version{Number: next.version}}
 	}
-	next.decided += req.GetSubmissionId() + "=" + outcome(want) + ";"
+	next.results += req.GetSubmissionId() + "=" + outcome(want) + ";"
 	return !op.Completed() || outcome(op.Result().GetSubmit()) == outcome(want), next
 }
 
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%t %d", r.GetAccepted(), r.GetVersion().GetNumber())
 }
 
-// claimModel is one key.
+// claimModel models the claim of one idempotency key.
 type claimModel struct {
 	holder    string
 	completed bool
@@ -113,7 +113,7 @@
 	return true, next
 }
 
-// modelOf makes a porcupine model of a step function.
+// modelOf returns the porcupine model of a step function.
 func modelOf[S comparable](step func(S, schedule.Operation) (bool, S)) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any {
--- a/control/schedule/members.go
+++ b/control/schedule/members.go
@@ -5,10 +5,11 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxHosts bounds the identities of one run.
+// maxHosts limits the number of identities in one run.
 const maxHosts = 12
 
-// Leader returns the name of a host that leads with the newest term, or "".
+// Leader returns the name of the leader with the highest term, or "" if there
+// is none.
 func (sim *Simulation) Leader() string {
 	if h := sim.leader(); h != nil {
 		return h.name
@@ -26,7 +27,8 @@
 	return best
 }
 
-// hostNamed returns the host of a name that still has its disk.
+// hostNamed returns the newest host of a name, the only one that may still have
+// its disk.
 func (sim *Simulation) hostNamed(name string) *host {
 	for n := len(sim.hosts) - 1; n >= 0; n-- {
 		if sim.hosts[n].name == name {
@@ -36,7 +38,8 @@
 	return nil
 }
 
-// LoseDisk blanks the disk of a host, which starts again with a new identity.
+// LoseDisk replaces the disk of a host by a blank one. The host restarts with a
+// new identity.
 func (sim *Simulation) LoseDisk(name string) {
 	h := sim.hostNamed(name)
 	if len(sim.hosts) >= maxHosts {
@@ -51,14 +54,15 @@
 	sim.newHost(name)
 }
 
-// Crash stops a host's process; what was not synced is lost.
+// Crash crashes the process of a host, if it runs.
 func (sim *Simulation) Crash(name string) {
 	if h := sim.hostNamed(name); h.up {
 		h.crash()
 	}
 }
 
-// changeMembers proposes what an operator would do next at the leader.
+// changeMembers transfers leadership or proposes a membership change that
+// repairs the group.
 func (sim *Simulation) changeMembers() {
 	leader := sim.leader()
 	if leader == nil {
@@ -75,8 +79,8 @@
 	leader.flush()
 }
 
-// repairStep proposes one change that brings the membership closer to all
-// hosts that have a disk being voters and no others being members.
+// repairStep proposes one change towards the repaired membership: it promotes a
+// learner, else adds a host as a learner, else removes a host without a disk.
 func (sim *Simulation) repairStep(leader *host) {
 	for _, h := range sim.hosts {
 		if !h.diskLost && h.id != leader.id && roleOf(leader.replica.Members(), h.id) == quorum.Learner {
@@ -108,8 +112,8 @@
 	return ""
 }
 
-// Repaired reports whether all hosts with a disk are voters, and no others, in
-// the newest committed membership.
+// Repaired reports whether, in the newest committed membership, exactly the
+// hosts with a disk are members, and all of them as voters.
 func (sim *Simulation) Repaired() bool {
 	for _, h := range sim.hosts {
 		role := roleOf(sim.members, h.id)
--- a/control/schedule/random.go
+++ b/control/schedule/random.go
@@ -4,10 +4,10 @@
 	"math/rand/v2"
 )
 
-// Random is a source of choices from a seed.
+// Random is a pseudorandom source of choices.
 type Random struct{ rand *rand.Rand }
 
-// NewRandom returns a source that makes the same choices for the same seed.
+// NewRandom returns a source that gives the same choices for the same seed.
 func NewRandom(seed uint64) *Random {
 	return &Random{rand: rand.New(rand.NewPCG(seed, seed))}
 }
--- a/control/schedule/repair_test.go
+++ b/control/schedule/repair_test.go
@@ -8,7 +8,8 @@
 	"github.com/snipebeam/snipebeam/control/schedule"
 )
 
-// Right after one host is repaired, a second can be lost.
+// Guards against a loss of quorum when a second host loses its disk immediately
+// after the membership was repaired for the first.
 func TestRepairOneThenLoseASecond(t *testing.T) {
 	for _, hosts := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
@@ -20,7 +21,7 @@
 				if n >= 3 {
 					break
 				}
-				must.True(t, sim.Repair(), must.Sprintf("repair after the loss of host %d", n+1))
+				must.True(t, sim.Repair(), must.Sprintf("repair after host %d lost its disk", n+1))
 			}
 			must.True(t, sim.Repair())
 			must.True(t, sim.Submit())
@@ -30,8 +31,9 @@
 	}
 }
 
-// A host that comes back with a blank disk under its old name has no vote: the
-// two that are left must not lose what only one of them holds.
+// Guards against the loss of an accepted change when a host restarts with a blank
+// disk under its old name: it has no vote, so it must not form a quorum that lacks
+// an entry that only one of the other two hosts has.
 func TestBlankDiskUnderAnOldNameHasNoVote(t *testing.T) {
 	sim := schedule.NewSimulation(schedule.NewRandom(2), schedule.WithHosts(3), schedule.WithoutFaults())
 	must.True(t, sim.Submit())
@@ -42,7 +44,7 @@
 	for name := range others {
 		sim.Crash(name)
 	}
-	// Only the blank host runs: it must not become a leader.
+	// Only the host with the blank disk is running: it must not become leader.
 	must.False(t, sim.RunUntil(func() bool { return sim.Leader() != "" }))
 	sim.Heal()
 	must.True(t, sim.Repair())
--- a/control/schedule/schedule.go
+++ b/control/schedule/schedule.go
@@ -1,10 +1,12 @@
-// Package schedule runs a whole control group in one goroutine, without clocks
-// or sockets, through a generated order of events: messages that are lost,
-// doubled and reordered, partitions in one direction, crashes that lose what
-// was not synced, blank disks, changes of membership, submissions, claims and
-// reads. It reports each promise that the group broke.
+// Package schedule implements a deterministic simulation of a whole control
+// group. It runs in one goroutine, without clocks or sockets, and executes a
+// generated schedule of events: dropped, duplicated and reordered messages,
+// one-way partitions, crashes that discard what was not synced, lost disks,
+// membership changes, submissions, claims and reads. It reports each invariant
+// that the group violated.
 //
-// Tests and measurements share it; a source of choices makes a run repeatable.
+// Tests and benchmarks use it. All choices are drawn from one source, so a run
+// can be repeated.
 //
 // Usage:
 //
@@ -19,39 +21,39 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Source makes the choices of a run.
+// Source supplies the choices of a run.
 type Source interface {
 	// Int returns a number from 0 to n-1.
 	Int(n int) int
 }
 
-// Invariant names what a group must keep.
+// Invariant names a property that the group must maintain.
 type Invariant string
 
-// Promises that a run checks.
+// Invariants that a run checks.
 const (
-	OneLeader        Invariant = "one leader a term"
+	OneLeader        Invariant = "at most one leader per term"
 	SameEntries      Invariant = "committed entries never change"
 	NoLoss           Invariant = "an accepted change is never lost"
-	MonotonicReads   Invariant = "a confirmed version never goes back"
+	MonotonicReads   Invariant = "confirmed reads never return an older version"
 	OneHolder        Invariant = "at most one holder dispatches a claim"
-	SameResult       Invariant = "a submission sent again gives the first result"
-	NoOrphanClaim    Invariant = "a claim that was given up does not block the key"
+	SameResult       Invariant = "a repeated submission returns its first result"
+	NoOrphanClaim    Invariant = "a released claim does not block its key"
 	Liveness         Invariant = "a group with a quorum makes progress"
-	CrashConsistency Invariant = "a crash leaves a folder that can be read"
-	SameState        Invariant = "replicas with the same log hold the same state"
-	SingleChange     Invariant = "memberships differ by one replica"
-	QuorumSurvives   Invariant = "losses within the bound leave a quorum"
+	CrashConsistency Invariant = "a data folder is readable after a crash"
+	SameState        Invariant = "replicas with the same log have the same state"
+	SingleChange     Invariant = "consecutive memberships differ by one replica"
+	QuorumSurvives   Invariant = "disk losses within the fault tolerance leave a quorum"
 )
 
-// Violation is a promise that was broken.
+// Violation is one violation of an invariant.
 type Violation struct {
 	invariant Invariant
 	step      int
 	detail    string
 }
 
-// Invariant returns the broken promise.
+// Invariant returns the violated invariant.
 func (v Violation) Invariant() Invariant { return v.invariant }
 
 // String describes the violation.
@@ -59,7 +61,7 @@
 	return fmt.Sprintf("step %d: %s: %s", v.step, v.invariant, v.detail)
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	violations        []Violation
 	operations        []Operation
@@ -71,35 +73,35 @@
 	membershipChanges int
 }
 
-// Violations returns the broken promises, in the order they were seen.
+// Violations returns the violations in the order in which they were detected.
 func (r *Report) Violations() []Violation { return r.violations }
 
-// Operations returns what the clients saw.
+// Operations returns the history that the clients observed.
 func (r *Report) Operations() []Operation { return r.operations }
 
 // Accepted returns how many submissions were accepted.
 func (r *Report) Accepted() int { return r.accepted }
 
-// Dispatched returns how many claims were granted to a holder that used them.
+// Dispatched returns how many claims were granted and used for a dispatch.
 func (r *Report) Dispatched() int { return r.dispatched }
 
-// Crashes returns how many hosts crashed.
+// Crashes returns how often a host crashed.
 func (r *Report) Crashes() int { return r.crashes }
 
-// DiskLosses returns how many hosts lost their disk.
+// DiskLosses returns how often a host lost its disk.
 func (r *Report) DiskLosses() int { return r.diskLosses }
 
 // Elections returns how many terms had a leader.
 func (r *Report) Elections() int { return r.elections }
 
-// MembershipChanges returns how many changes of membership were committed.
+// MembershipChanges returns how many membership changes were committed.
 func (r *Report) MembershipChanges() int { return r.membershipChanges }
 
-// Count returns how often a promise was broken.
-func (r *Report) Count(p Invariant) int {
+// Count returns how often an invariant was violated.
+func (r *Report) Count(invariant Invariant) int {
 	n := 0
 	for _, v := range r.violations {
-		if v.invariant == p {
+		if v.invariant == invariant {
 			n++
 		}
 	}
@@ -112,16 +114,16 @@
 	faults bool
 }
 
-// Option changes a run.
+// Option configures a run.
 type Option func(*options)
 
-// WithHosts sets the size of the first membership.
+// WithHosts sets the number of hosts in the initial membership.
 func WithHosts(n int) Option { return func(o *options) { o.hosts = n } }
 
-// WithSteps sets how many events are generated.
+// WithSteps sets the number of generated events.
 func WithSteps(n int) Option { return func(o *options) { o.steps = n } }
 
-// WithoutFaults leaves out crashes, losses and partitions.
+// WithoutFaults disables crashes, message and disk losses, and partitions.
 func WithoutFaults() Option { return func(o *options) { o.faults = false } }
 
 const (
@@ -130,7 +132,8 @@
 	segmentBytes   = 2 << 10
 )
 
-// Run runs one schedule, heals the group and checks what must hold at the end.
+// Run executes one schedule, heals the group and checks the invariants of a
+// healed group. It stops at the first violation during the schedule.
 func Run(source Source, opts ...Option) *Report {
 	sim := NewSimulation(source, opts...)
 	for range sim.steps {
@@ -144,7 +147,7 @@
 	return sim.report
 }
 
-// NewSimulation returns a group that has just been formed.
+// NewSimulation returns a simulation of a newly formed group.
 func NewSimulation(source Source, opts ...Option) *Simulation {
 	o := options{hosts: 3, steps: 400, faults: true}
 	for _, opt := range opts {
@@ -152,7 +155,7 @@
 	}
 	sim := &Simulation{
 		options: o, source: source, report: &Report{}, blocked: map[[2]string]bool{},
-		leaders: map[uint64]string{}, entries: map[uint64]*wire.LogEntry{}, clients: newClients(),
+		leaders: map[uint64]string{}, committed: map[uint64]*wire.LogEntry{}, clients: newClients(),
 	}
 	var members []*wire.Member
 	for n := range o.hosts {
--- a/control/schedule/schedule_test.go
+++ b/control/schedule/schedule_test.go
@@ -12,27 +12,27 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-// drawn lets rapid make the choices, so that a failing schedule is shrunk.
-type drawn struct{ t *rapid.T }
+// rapidSource draws the choices from rapid, which shrinks a failing schedule.
+type rapidSource struct{ t *rapid.T }
 
-func (d drawn) Int(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "choice") }
+func (s rapidSource) Int(n int) int { return rapid.IntRange(0, n-1).Draw(s.t, "choice") }
 
-func TestDrawnSchedulesKeepEveryPromise(t *testing.T) {
+func TestDrawnSchedulesMaintainInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]int{3, 5}).Draw(t, "hosts")
-		report := schedule.Run(drawn{t}, schedule.WithHosts(hosts), schedule.WithSteps(250))
+		report := schedule.Run(rapidSource{t}, schedule.WithHosts(hosts), schedule.WithSteps(250))
 		must.Eq(t, "", describe(report))
 	})
 }
 
-func TestManySchedulesKeepEveryPromise(t *testing.T) {
-	total := &tally{}
+func TestManySchedulesMaintainInvariants(t *testing.T) {
+	total := &totals{}
 	for seed := range uint64(400) {
 		report := schedule.Run(schedule.NewRandom(seed), schedule.WithHosts(3+2*int(seed%2)), schedule.WithSteps(600))
 		must.Eq(t, "", describe(report), must.Sprintf("seed %d", seed))
 		total.add(report)
 	}
-	// A run in which nothing happens would keep every promise too.
+	// Runs in which nothing happens would violate no invariant either.
 	t.Logf("%+v", *total)
 	must.Greater(t, 400, total.accepted)
 	must.Greater(t, 200, total.dispatched)
@@ -41,9 +41,9 @@
 	must.Greater(t, 20, total.changes)
 }
 
-type tally struct{ accepted, dispatched, crashes, blanks, changes int }
+type totals struct{ accepted, dispatched, crashes, blanks, changes int }
 
-func (t *tally) add(r *schedule.Report) {
+func (t *totals) add(r *schedule.Report) {
 	t.accepted += r.Accepted()
 	t.dispatched += r.Dispatched()
 	t.crashes += r.Crashes()
@@ -51,7 +51,7 @@
 	t.changes += r.MembershipChanges()
 }
 
-// describe joins the violations of a run, for the test's output.
+// describe lists the violations of a run, one per line.
 func describe(r *schedule.Report) string {
 	text := ""
 	for _, v := range r.Violations() {
@@ -60,7 +60,8 @@
 	return text
 }
 
-// The same seed must give the same run, or a failure could not be repeated.
+// Guards against non-determinism, with which a failure could not be reproduced
+// from its seed.
 func TestSameSeedGivesTheSameRun(t *testing.T) {
 	for seed := range uint64(20) {
 		first := schedule.Run(schedule.NewRandom(seed), schedule.WithHosts(5))
--- a/control/schedule/simulation.go
+++ b/control/schedule/simulation.go
@@ -9,47 +9,48 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Simulation is a control group with its network and its clients.
+// Simulation is a simulated control group with its network and its clients.
 type Simulation struct {
 	options
 	source   Source
 	report   *Report
-	now      int // steps and events, orders what the clients see
+	now      int // logical time of steps and client events
 	hosts    []*host
 	inFlight []*wire.QuorumMessage
 	blocked  map[[2]string]bool // from, to
 
-	leaders map[uint64]string
-	entries map[uint64]*wire.LogEntry // committed, by index
-	members []*wire.Member            // newest committed membership
-	clients *clients
+	leaders   map[uint64]string
+	committed map[uint64]*wire.LogEntry // committed, by index
+	members   []*wire.Member            // newest committed membership
+	clients   *clients
 }
 
-// Report returns what was seen so far.
+// Report returns the report so far.
 func (sim *Simulation) Report() *Report { return sim.report }
 
 func (sim *Simulation) violate(p Invariant, detail string) {
 	sim.report.violations = append(sim.report.violations, Violation{invariant: p, step: sim.now, detail: detail})
 }
 
-// fault decides, once in n times, that a fault happens.
-func (sim *Simulation) fault(n int) bool { return sim.faults && sim.source.Int(n) == n-1 }
+// faultOneIn reports, with probability 1/n, that a fault is to be injected.
+func (sim *Simulation) faultOneIn(n int) bool { return sim.faults && sim.source.Int(n) == n-1 }
 
-// restartOdds is after how many ticks, on average, a crashed host starts again.
-const restartOdds = 6
+// meanRestartTicks is the mean number of ticks until a crashed host restarts.
+const meanRestartTicks = 6
 
-// maxDelivered bounds the messages that arrive in one step.
-const maxDelivered = 6
+// maxDeliveredPerStep limits the messages that are delivered in one step.
+const maxDeliveredPerStep = 6
 
-// maxKeptBytes bounds the entries kept behind a snapshot.
-const maxKeptBytes = 1500
+// maxTrailingBytes limits the entries that a snapshot covers and that stay in
+// the log for slow followers.
+const maxTrailingBytes = 1500
 
-// maxInFlight bounds the messages that are on their way.
+// maxInFlight limits the messages in transit; further ones are dropped.
 const maxInFlight = 200
 
 func (sim *Simulation) send(messages []*wire.QuorumMessage) {
 	for _, m := range messages {
-		if sim.blocked[[2]string{m.GetFrom(), m.GetTo()}] || len(sim.inFlight) >= maxInFlight || sim.fault(25) {
+		if sim.blocked[[2]string{m.GetFrom(), m.GetTo()}] || len(sim.inFlight) >= maxInFlight || sim.faultOneIn(25) {
 			continue
 		}
 		if m.GetKind() == wire.QuorumKind_QUORUM_SNAPSHOT {
@@ -61,7 +62,7 @@
 			m.Snapshot = s
 		}
 		sim.inFlight = append(sim.inFlight, m)
-		if sim.fault(20) {
+		if sim.faultOneIn(20) {
 			sim.inFlight = append(sim.inFlight, m)
 		}
 	}
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// deliver hands over one message, mostly the oldest. It is encoded and decoded
-// on its way, so that hosts share no memory.
+// deliver delivers one message, usually the oldest. It passes a copy, so that
+// hosts share no memory.
 func (sim *Simulation) deliver() {
 	if len(sim.inFlight) == 0 {
 		return
 	}
 	n := 0
-	if sim.fault(3) {
+	if sim.faultOneIn(3) {
 		n = sim.source.Int(len(sim.inFlight))
 	}
 	m := sim.inFlight[n]
@@ -93,28 +94,28 @@
 		return
 	}
 	h.replica.Step(proto.Clone(m).(*wire.QuorumMessage))
-	h.observe()
+	h.checkLeadership()
 	h.flush()
 }
 
 func (sim *Simulation) tick(h *host) {
-	if !h.up && !h.diskLost && sim.faults && sim.source.Int(restartOdds) == 0 {
+	if !h.up && !h.diskLost && sim.faults && sim.source.Int(meanRestartTicks) == 0 {
 		h.start()
 	}
 	if !h.up {
 		return
 	}
 	h.replica.Tick()
-	h.observe()
+	h.checkLeadership()
 	h.flush()
 }
 
-// step does one event.
+// step executes one random event.
 func (sim *Simulation) step() {
 	sim.now++
 	switch n := sim.source.Int(100); {
 	case n < 48:
-		for range 1 + sim.source.Int(maxDelivered) {
+		for range 1 + sim.source.Int(maxDeliveredPerStep) {
 			sim.deliver()
 		}
 	case n < 62:
@@ -125,17 +126,18 @@
 		sim.injectFault()
 	case n < 98:
 		if h := sim.randomHost(); h.up {
-			h.snapshot(sim.source.Int(maxKeptBytes))
+			h.snapshot(sim.source.Int(maxTrailingBytes))
 		}
 	default:
 		sim.changeMembers()
 	}
 }
 
-// tickSkewed lets one host's clock run ahead of the others, at times by far.
+// tickSkewed advances the clock of one host ahead of the others, sometimes by
+// up to two election timeouts.
 func (sim *Simulation) tickSkewed(h *host) {
 	n := 1
-	if sim.fault(8) {
+	if sim.faultOneIn(8) {
 		n += sim.source.Int(2 * electionTicks)
 	}
 	for range n {
@@ -162,7 +164,6 @@
 	case 5:
 		sim.blocked[[2]string{h.id, sim.randomHost().id}] = true
 	case 6:
-
 		other := sim.randomHost()
 		sim.blocked[[2]string{h.id, other.id}] = true
 		sim.blocked[[2]string{other.id, h.id}] = true
@@ -173,7 +174,7 @@
 	}
 }
 
-// isolateLeader cuts the leader off, in one direction or in both.
+// isolateLeader partitions the leader from all hosts, in one or both directions.
 func (sim *Simulation) isolateLeader() {
 	leader := sim.leader()
 	if leader == nil {
@@ -190,8 +191,8 @@
 	}
 }
 
-// loseDisk blanks a host's disk for good, if each membership that may be in
-// force keeps a quorum without it. The host comes back with a new identity.
+// loseDisk makes a host lose its disk if each membership that may be in force
+// keeps a quorum without it. The host restarts with a new identity.
 func (sim *Simulation) loseDisk(h *host) {
 	if h.diskLost || sim.members == nil || !sim.quorumSurvives(h) {
 		return
@@ -208,12 +209,12 @@
 			return false
 		}
 	}
-	return sim.quorumWithout(sim.members, lost) && sim.allUp()
+	return sim.quorumWithout(sim.members, lost) && sim.allHostsUp()
 }
 
-// allUp reports whether every disk that still exists is in use, so that all
-// memberships are seen.
-func (sim *Simulation) allUp() bool {
+// allHostsUp reports whether every host that has a disk is running. The
+// memberships of stopped hosts are not visible to quorumSurvives.
+func (sim *Simulation) allHostsUp() bool {
 	for _, h := range sim.hosts {
 		if !h.diskLost && !h.up {
 			return false
@@ -223,43 +224,44 @@
 }
 
 func (sim *Simulation) quorumWithout(members []*wire.Member, lost *host) bool {
-	voters, left := 0, 0
+	voters, remaining := 0, 0
 	for _, m := range members {
 		if m.GetRole() != quorum.Voter {
 			continue
 		}
 		voters++
 		if h := sim.find(m.GetIdentity()); !h.diskLost && h != lost {
-			left++
+			remaining++
 		}
 	}
-	return voters == 0 || left > voters/2
+	return voters == 0 || remaining > voters/2
 }
 
-// checkEntry compares a committed entry with what other hosts committed.
+// checkEntry compares a committed entry with the one that other hosts committed
+// at the same index.
 func (sim *Simulation) checkEntry(h *host, e *wire.LogEntry) {
-	known, ok := sim.entries[e.GetIndex()]
+	first, ok := sim.committed[e.GetIndex()]
 	if !ok {
-		sim.entries[e.GetIndex()] = e
+		sim.committed[e.GetIndex()] = e
 		if e.GetKind() == wire.EntryKind_ENTRY_MEMBERS {
 			sim.checkChange(e.GetMembers().GetMembers())
 		}
 		return
 	}
-	if known.GetTerm() != e.GetTerm() || known.GetKind() != e.GetKind() || !bytes.Equal(known.GetData(), e.GetData()) {
-		sim.violate(SameEntries, fmt.Sprintf("entry %d of %s: term %d, was committed with term %d", e.GetIndex(), h.id, e.GetTerm(), known.GetTerm()))
+	if first.GetTerm() != e.GetTerm() || first.GetKind() != e.GetKind() || !bytes.Equal(first.GetData(), e.GetData()) {
+		sim.violate(SameEntries, fmt.Sprintf("entry %d of %s has term %d, but was committed with term %d", e.GetIndex(), h.id, e.GetTerm(), first.GetTerm()))
 	}
 }
 
 func (sim *Simulation) checkChange(next []*wire.Member) {
-	if difference(sim.members, next) > 1 && sim.members != nil {
-		sim.violate(SingleChange, fmt.Sprintf("from %v to %v", sim.members, next))
+	if memberDifference(sim.members, next) > 1 && sim.members != nil {
+		sim.violate(SingleChange, fmt.Sprintf("membership changed from %v to %v", sim.members, next))
 	}
 	sim.members = next
 	sim.report.membershipChanges++
 }
 
-func difference(a, b []*wire.Member) int {
+func memberDifference(a, b []*wire.Member) int {
 	roles := map[string]string{}
 	for _, m := range a {
 		roles[m.GetIdentity()] = m.GetRole()
--- a/control/settings/directory.go
+++ b/control/settings/directory.go
@@ -2,7 +2,7 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// Directory says how many entry hosts callers are told of.
+// Directory configures how many entry hosts discovery returns for a service.
 type Directory struct {
 	HostRate   float64 `toml:"hostRate" comment:"requests a second of a service that one entry host takes; more are named beyond that, 0 sets no bound"`
 	LeastHosts int     `toml:"leastHosts" comment:"entry hosts that serve a service at least"`
--- a/control/settings/host.go
+++ b/control/settings/host.go
@@ -1,6 +1,6 @@
 package settings
 
-// Host says what this host is.
+// Host identifies this host.
 type Host struct {
 	Name string `toml:"name" comment:"unique name of this host"`
 	Zone string `toml:"zone" comment:"availability zone"`
--- a/control/settings/log.go
+++ b/control/settings/log.go
@@ -1,6 +1,6 @@
 package settings
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level" comment:"trace, debug, info, warn or error"`
 }
--- a/control/settings/quorum.go
+++ b/control/settings/quorum.go
@@ -8,7 +8,7 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Quorum says which control hosts agree and how they keep time.
+// Quorum configures the members of the control group and its Raft timing.
 type Quorum struct {
 	Hosts          []string `toml:"hosts" comment:"first membership as name=address, the same list on each host; the first one forms the group; empty: this host alone"`
 	Seeds          []string `toml:"seeds" comment:"addresses of some control hosts, with any port; instead of hosts, for a group that keeps its own membership"`
@@ -21,21 +21,23 @@
 
 func defaultQuorum() Quorum { return Quorum{TickMs: 25, HeartbeatTicks: 2, ElectionTicks: 12} }
 
-// minElectionHeartbeats is how many heartbeats an election timeout spans.
+// minElectionHeartbeats is the least number of heartbeat intervals in an
+// election timeout.
 const minElectionHeartbeats = 3
 
-// InitialHosts returns name and address of each host of the first membership.
+// InitialHosts returns the name and the address of each host of the initial
+// membership.
 func (q *Quorum) InitialHosts() [][2]string {
 	var all [][2]string
-	for _, one := range q.Hosts {
-		name, address, _ := strings.Cut(one, "=")
+	for _, host := range q.Hosts {
+		name, address, _ := strings.Cut(host, "=")
 		all = append(all, [2]string{name, address})
 	}
 	return all
 }
 
-// Voters returns how many votes the group keeps by itself, 0 if operators
-// change its membership.
+// Voters returns the number of voters that the group maintains automatically,
+// or 0 if operators manage its membership.
 func (q *Quorum) Voters() int {
 	if len(q.Seeds) == 0 {
 		return 0
@@ -44,20 +46,20 @@
 }
 
 func (q *Quorum) check(c *setting.Checker) {
-	for _, one := range q.Seeds {
-		c.Address("quorum.seeds", one, "10.0.0.1:7100")
+	for _, seed := range q.Seeds {
+		c.Address("quorum.seeds", seed, "10.0.0.1:7100")
 	}
 	if len(q.Seeds) > 0 && len(q.Hosts) > 0 {
-		c.Fail("quorum.seeds", "stands beside quorum.hosts", "keep one of the two")
+		c.Fail("quorum.seeds", "is set together with quorum.hosts", "keep one of the two")
 	}
 	if q.FaultTolerance < 0 {
 		c.Fail("quorum.faultTolerance", "is negative", "1 needs three control hosts, 2 needs five")
 	}
 	var names []string
-	for _, one := range q.Hosts {
-		name, address, ok := strings.Cut(one, "=")
+	for _, host := range q.Hosts {
+		name, address, ok := strings.Cut(host, "=")
 		if _, _, err := net.SplitHostPort(address); !ok || name == "" || err != nil {
-			c.Fail("quorum.hosts", "holds "+one, "write each as control-1=127.0.0.1:7100")
+			c.Fail("quorum.hosts", "contains "+host, "write each as control-1=127.0.0.1:7100")
 		}
 		if slices.Contains(names, name) {
 			c.Fail("quorum.hosts", "names "+name+" twice", "name each host once")
--- a/control/settings/settings.go
+++ b/control/settings/settings.go
@@ -12,7 +12,7 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Settings is the whole file, one field a section.
+// Settings is the content of a settings file, one field per section.
 type Settings struct {
 	Host      Host      `toml:"host" comment:"what this host is"`
 	Listen    Listen    `toml:"listen" comment:"addresses that this host listens on"`
@@ -23,12 +23,12 @@
 	Log       Log       `toml:"log" comment:"what is logged"`
 }
 
-// Default returns the settings that a file need not name.
+// Default returns the default settings.
 func Default() *Settings {
 	return &Settings{Listen: defaultListen(), Data: defaultData(), Quorum: defaultQuorum(), Directory: defaultDirectory(), Log: defaultLog()}
 }
 
-// Load reads and checks a file, before which the overrides go. All findings
+// Load reads and checks a file. Overrides take precedence over it. All findings
 // are reported together.
 func Load(path string, overrides ...setting.Override) (*Settings, finding.List) {
 	cfg := Default()
