--- a/entry/discovery/address.go
+++ b/entry/discovery/address.go
@@ -37,7 +37,7 @@
 		return
 	}
 	set := inForce.Set()
-	if !set.Knows(service) {
+	if !set.HasService(service) {
 		refuse(c, UnknownService, "no rule names the service "+service)
 		return
 	}
