--- a/control/disk/memory/file.go
+++ b/control/disk/memory/file.go
@@ -7,17 +7,17 @@
 	"github.com/pkg/errors"
 )
 
-// errCrashed is what a file gives that was opened before a crash.
+// errCrashed is the error of a file that was opened before a crash.
 var errCrashed = errors.New("the file was open when the folder crashed")
 
 type file struct {
 	folder  *Folder
-	content *content
+	content *fileContent
 	read    int
 	crashes int
 }
 
-// Read reads on from the start.
+// Read reads from the current read offset, at first the start.
 func (f *file) Read(p []byte) (int, error) {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
@@ -29,7 +29,7 @@
 	return n, nil
 }
 
-// Write appends.
+// Write appends to the file, up to the free space of the folder.
 func (f *file) Write(p []byte) (int, error) {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
@@ -40,12 +40,12 @@
 		return 0, f.folder.writeErr
 	}
 	n := len(p)
-	if f.folder.room >= 0 && n > f.folder.room {
-		n = f.folder.room
+	if f.folder.freeBytes >= 0 && n > f.folder.freeBytes {
+		n = f.folder.freeBytes
 	}
 	f.content.data = append(f.content.data, p[:n]...)
-	if f.folder.room >= 0 {
-		f.folder.room -= n
+	if f.folder.freeBytes >= 0 {
+		f.folder.freeBytes -= n
 	}
 	if n < len(p) {
 		return n, errors.New("no space left on device")
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Truncate cuts the file.
+// Truncate shortens the file to a size.
 func (f *file) Truncate(size int64) error {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
--- a/control/disk/snapshot.go
+++ b/control/disk/snapshot.go
@@ -18,27 +18,27 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode snapshot")
 	}
-	return sealRecord(buf, snapshot.GetIndex(), 0), nil
+	return putHeader(buf, snapshot.GetIndex(), 0), nil
 }
 
-// DecodeSnapshot reads the content of a snapshot file.
+// DecodeSnapshot decodes the content of a snapshot file.
 func DecodeSnapshot(data []byte) (*wire.LogSnapshot, error) {
 	r, ok := parseRecord(data)
 	if !ok {
-		return nil, errors.New("the checksum does not fit")
+		return nil, errors.New("the checksum does not match")
 	}
 	snapshot := &wire.LogSnapshot{}
 	if err := proto.Unmarshal(r.payload, snapshot); err != nil {
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
 	if snapshot.GetIndex() != r.sequence {
-		return nil, errors.Errorf("the snapshot is of index %d, its record of %d", snapshot.GetIndex(), r.sequence)
+		return nil, errors.Errorf("the snapshot has index %d, its record has %d", snapshot.GetIndex(), r.sequence)
 	}
 	return snapshot, nil
 }
 
 // SaveSnapshot makes a snapshot durable and removes older ones. It may run
-// beside Write.
+// concurrently with Write.
 func (s *Store) SaveSnapshot(snapshot *wire.LogSnapshot) error {
 	if err := s.Err(); err != nil {
 		return errors.Wrap(ErrFailed, err.Error())
@@ -81,14 +81,14 @@
 	}
 	var indexes []uint64
 	for _, name := range names {
-		if index, ok := numbered(name, snapshotPrefix); ok {
+		if index, ok := parseNumbered(name, snapshotPrefix); ok {
 			indexes = append(indexes, index)
 		}
 	}
 	return indexes, nil
 }
 
-// Snapshot reads the newest snapshot, nil if there is none.
+// Snapshot reads the newest snapshot. It returns nil if there is none.
 func (s *Store) Snapshot() (*wire.LogSnapshot, error) {
 	indexes, err := s.snapshotIndexes()
 	if err != nil || len(indexes) == 0 {
@@ -103,14 +103,14 @@
 	return snapshot, errors.Wrapf(err, "snapshot %s is damaged at offset 0", name)
 }
 
-// removeTemporary removes what interrupted writes left.
+// removeTemporary removes the temporary files of interrupted writes.
 func (s *Store) removeTemporary() error {
 	names, err := s.folder.Names()
 	if err != nil {
 		return errors.Wrap(err, "list data folder")
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name, temporary) {
+		if !strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
 		if err := s.folder.Remove(name); err != nil {
--- a/control/schedule/attempt.go
+++ b/control/schedule/attempt.go
@@ -7,56 +7,58 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Operation is one request of a client with what the client saw. A request
-// whose outcome is not known has no end.
+// Operation is one request of a client and its result, as an entry of the
+// history whose linearizability is checked. A request without a response has no
+// end, and its outcome is unknown.
 type Operation struct {
-	start   int
-	end     int
-	certain bool
-	cmd     *wire.Command
-	result  *wire.Result
-	version uint64
+	start     int
+	end       int
+	completed bool
+	cmd       *wire.Command
+	result    *wire.Result
+	version   uint64
 }
 
-// Start returns when the request was sent.
+// Start returns the time at which the request was sent.
 func (o Operation) Start() int { return o.start }
 
-// End returns when the answer came.
+// End returns the time at which the response was received.
 func (o Operation) End() int { return o.end }
 
-// Completed reports whether an answer came.
-func (o Operation) Completed() bool { return o.certain }
+// Completed reports whether a response was received.
+func (o Operation) Completed() bool { return o.completed }
 
 // Command returns the request, nil for a confirmed read.
 func (o Operation) Command() *wire.Command { return o.cmd }
 
-// Result returns the answer, nil for a confirmed read.
+// Result returns the response, nil for a confirmed read.
 func (o Operation) Result() *wire.Result { return o.result }
 
-// Version returns what a confirmed read gave.
+// Version returns the version that a confirmed read returned.
 func (o Operation) Version() uint64 { return o.version }
 
-// attempt is one sending of a request.
+// attempt is one transmission of a request.
 type attempt struct {
-	cmd       *wire.Command
-	term      uint64
-	started   int
-	running   bool
-	finished  bool
-	abandoned bool
-	floor     uint64 // newest version that was accepted before a read
-	then      func(result *wire.Result)
-	lost      func()
-	result    *wire.Result
+	cmd        *wire.Command
+	term       uint64
+	started    int
+	running    bool
+	finished   bool
+	abandoned  bool
+	minVersion uint64 // of a read: newest version that any client had seen before it
+	onResult   func(result *wire.Result)
+	onUnknown  func()
+	result     *wire.Result
 }
 
-// start proposes at a host that believes it leads.
-func (a *attempt) start(w *Simulation, h *host) {
+// start proposes the command at a host. It does nothing if the host is not a
+// leader.
+func (a *attempt) start(sim *Simulation, h *host) {
 	data, err := proto.Marshal(a.cmd)
 	if err != nil {
 		panic("schedule: " + err.Error())
 	}
-	a.started = w.now
+	a.started = sim.now
 	index, term, err := h.replica.Propose(data)
 	if err != nil {
 		return
@@ -66,38 +68,38 @@
 	h.flush()
 }
 
-func (a *attempt) uncertain(w *Simulation) {
+func (a *attempt) outcomeUnknown(sim *Simulation) {
 	a.running = false
-	w.record(Operation{start: a.started, cmd: a.cmd})
-	if a.lost != nil {
-		a.lost()
+	sim.record(Operation{start: a.started, cmd: a.cmd})
+	if a.onUnknown != nil {
+		a.onUnknown()
 	}
 }
 
-func (a *attempt) notTaken(*Simulation) {
+func (a *attempt) overwritten(*Simulation) {
 	a.running = false
-	if a.lost != nil {
-		a.lost()
+	if a.onUnknown != nil {
+		a.onUnknown()
 	}
 }
 
-func (a *attempt) done(w *Simulation, result *wire.Result) {
+func (a *attempt) complete(sim *Simulation, result *wire.Result) {
 	a.running, a.finished, a.result = false, true, result
-	w.record(Operation{start: a.started, end: w.now, certain: true, cmd: a.cmd, result: result})
-	if a.then != nil {
-		a.then(result)
+	sim.record(Operation{start: a.started, end: sim.now, completed: true, cmd: a.cmd, result: result})
+	if a.onResult != nil {
+		a.onResult(result)
 	}
 }
 
-func (a *attempt) read(w *Simulation, version uint64) {
-	w.record(Operation{start: a.started, end: w.now, certain: true, version: version})
-	if version < a.floor {
-		w.violate(MonotonicReads, fmt.Sprintf("a confirmed read gave version %d, version %d was accepted before", version, a.floor))
+func (a *attempt) completeRead(sim *Simulation, version uint64) {
+	sim.record(Operation{start: a.started, end: sim.now, completed: true, version: version})
+	if version < a.minVersion {
+		sim.violate(MonotonicReads, fmt.Sprintf("a confirmed read returned version %d after version %d was observed", version, a.minVersion))
 	}
-	w.clients.noteVersion(version)
+	sim.clients.observeVersion(version)
 }
 
-func (w *Simulation) record(op Operation) {
-	w.report.operations = append(w.report.operations, op)
-	w.now++
+func (sim *Simulation) record(op Operation) {
+	sim.report.operations = append(sim.report.operations, op)
+	sim.now++
 }
--- a/control/schedule/heal.go
+++ b/control/schedule/heal.go
@@ -7,37 +7,38 @@
 	"github.com/snipebeam/snipebeam/control/quorum"
 )
 
-// Bounds of the time after the faults.
+// Limits of a run without faults.
 const (
-	healRounds   = 600
-	roundDeliver = 400
+	healRounds         = 600
+	deliveriesPerRound = 400
 )
 
 // Heal ends all faults, starts every host that has a disk, and runs until all
-// of them hold the same log, or for a bounded time.
-func (w *Simulation) Heal() {
-	w.faults = false
-	w.blocked = map[[2]string]bool{}
-	for _, h := range w.hosts {
+// voters have the same log, or for a bounded time.
+func (sim *Simulation) Heal() {
+	sim.faults = false
+	sim.blocked = map[[2]string]bool{}
+	for _, h := range sim.hosts {
 		h.folder.FailSyncs(nil)
-		if !h.up && !h.gone {
+		if !h.up && !h.diskLost {
 			h.start()
 		}
 	}
-	if !w.RunUntil(func() bool { return w.settled() }) {
-		w.violate(Liveness, "the healed group does not settle: "+w.describe())
+	if !sim.RunUntil(func() bool { return sim.converged() }) {
+		sim.violate(Liveness, "the healed group does not converge: "+sim.describe())
 	}
 }
 
-// RunUntil lets time pass without further faults until a condition holds.
-func (w *Simulation) RunUntil(condition func() bool) bool {
+// RunUntil ticks all hosts and delivers messages until a condition holds. It
+// reports false if that does not happen within a bounded time.
+func (sim *Simulation) RunUntil(condition func() bool) bool {
 	for range healRounds {
-		w.now++
-		for _, h := range w.hosts {
-			w.tick(h)
+		sim.now++
+		for _, h := range sim.hosts {
+			sim.tick(h)
 		}
-		for range roundDeliver {
-			w.deliver()
+		for range deliveriesPerRound {
+			sim.deliver()
 		}
 		if condition() {
 			return true
@@ -46,25 +47,26 @@
 	return false
 }
 
-// Repair adds, promotes and removes replicas until every host with a disk is a
-// voter.
-func (w *Simulation) Repair() bool {
-	return w.RunUntil(func() bool {
-		if leader := w.leader(); leader != nil && !w.Repaired() {
-			w.repairStep(leader)
+// Repair adds, promotes and removes replicas until exactly the hosts with a disk
+// are voters.
+func (sim *Simulation) Repair() bool {
+	return sim.RunUntil(func() bool {
+		if leader := sim.leader(); leader != nil && !sim.Repaired() {
+			sim.repairStep(leader)
 			leader.flush()
 		}
-		return w.Repaired() && w.settled()
+		return sim.Repaired() && sim.converged()
 	})
 }
 
-// settled reports whether one leader is followed by all voters with equal logs.
-func (w *Simulation) settled() bool {
-	leader := w.leader()
+// converged reports whether there is a leader and all running voters have
+// applied its whole log.
+func (sim *Simulation) converged() bool {
+	leader := sim.leader()
 	if leader == nil || leader.replica.CommitIndex() != leader.replica.LastIndex() {
 		return false
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if !h.up || roleOf(leader.replica.Members(), h.id) != quorum.Voter {
 			continue
 		}
@@ -75,55 +77,55 @@
 	return true
 }
 
-func (w *Simulation) describe() string {
+func (sim *Simulation) describe() string {
 	text := ""
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.up {
 			text += fmt.Sprintf("%s %s term %d commit %d last %d; ", h.id, h.replica.Role(), h.replica.Term(), h.replica.CommitIndex(), h.replica.LastIndex())
 			continue
 		}
-		text += fmt.Sprintf("%s down gone=%t; ", h.id, h.gone)
+		text += fmt.Sprintf("%s down diskLost=%t; ", h.id, h.diskLost)
 	}
 	return text
 }
 
-// judge checks what must hold once the group has healed.
-func (w *Simulation) judge() {
-	if len(w.report.violations) > 0 {
+// checkHealed checks the invariants of a healed group.
+func (sim *Simulation) checkHealed() {
+	if len(sim.report.violations) > 0 {
 		return
 	}
-	w.clients.finish(w)
-	if !w.RunUntil(w.settled) {
-		w.violate(Liveness, "the group does not settle after the last requests: "+w.describe())
+	sim.clients.checkClaims(sim)
+	if !sim.RunUntil(sim.converged) {
+		sim.violate(Liveness, "the group does not converge after the last requests: "+sim.describe())
 		return
 	}
-	w.report.elections = len(w.leaders)
-	leader := w.leader()
+	sim.report.elections = len(sim.leaders)
+	leader := sim.leader()
 	want, _ := leader.machine.Snapshot()
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if !h.up || roleOf(leader.replica.Members(), h.id) != quorum.Voter {
 			continue
 		}
 		got, _ := h.machine.Snapshot()
 		if !bytes.Equal(want, got) {
-			w.violate(SameState, fmt.Sprintf("%s and %s differ", leader.id, h.id))
+			sim.violate(SameState, fmt.Sprintf("the states of %s and %s differ", leader.id, h.id))
 		}
-		w.clients.checkAccepted(w, h)
+		sim.clients.checkAccepted(sim, h)
 	}
 }
 
-// propose proposes at the leader and runs until the outcome is known.
-func (w *Simulation) propose(a *attempt) {
-	w.RunUntil(func() bool {
+// propose proposes a command at the leader and runs until its result is known.
+func (sim *Simulation) propose(a *attempt) {
+	sim.RunUntil(func() bool {
 		if a.finished {
 			return true
 		}
-		if leader := w.leader(); leader != nil && !a.running {
-			a.start(w, leader)
+		if leader := sim.leader(); leader != nil && !a.running {
+			a.start(sim, leader)
 		}
 		return a.finished
 	})
 	if !a.finished {
-		w.violate(Liveness, "a request of the healed group stays without answer")
+		sim.violate(Liveness, "a request to the healed group gets no response")
 	}
 }
--- a/control/schedule/members.go
+++ b/control/schedule/members.go
@@ -5,20 +5,21 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxHosts bounds the identities of one run.
+// maxHosts limits the number of identities in one run.
 const maxHosts = 12
 
-// Leader returns the name of a host that leads with the newest term, or "".
-func (w *Simulation) Leader() string {
-	if h := w.leader(); h != nil {
+// Leader returns the name of the leader with the highest term, or "" if there
+// is none.
+func (sim *Simulation) Leader() string {
+	if h := sim.leader(); h != nil {
 		return h.name
 	}
 	return ""
 }
 
-func (w *Simulation) leader() *host {
+func (sim *Simulation) leader() *host {
 	var best *host
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.up && h.replica.Role() == quorum.Leader && (best == nil || h.replica.Term() > best.replica.Term()) {
 			best = h
 		}
@@ -26,73 +27,76 @@
 	return best
 }
 
-// current returns the host of a name that still has its disk.
-func (w *Simulation) current(name string) *host {
-	for n := len(w.hosts) - 1; n >= 0; n-- {
-		if w.hosts[n].name == name {
-			return w.hosts[n]
+// hostNamed returns the newest host of a name, the only one that may still have
+// its disk.
+func (sim *Simulation) hostNamed(name string) *host {
+	for n := len(sim.hosts) - 1; n >= 0; n-- {
+		if sim.hosts[n].name == name {
+			return sim.hosts[n]
 		}
 	}
 	return nil
 }
 
-// LoseDisk blanks the disk of a host, which starts again with a new identity.
-func (w *Simulation) LoseDisk(name string) {
-	h := w.current(name)
-	if len(w.hosts) >= maxHosts {
+// LoseDisk replaces the disk of a host by a blank one. The host restarts with a
+// new identity.
+func (sim *Simulation) LoseDisk(name string) {
+	h := sim.hostNamed(name)
+	if len(sim.hosts) >= maxHosts {
 		return
 	}
 	if h.up {
 		h.up = false
-		h.giveUp()
+		h.abandonRequests()
 	}
-	h.gone = true
-	w.report.blanks++
-	w.newHost(name)
+	h.diskLost = true
+	sim.report.diskLosses++
+	sim.newHost(name)
 }
 
-// Crash stops a host's process; what was not synced is lost.
-func (w *Simulation) Crash(name string) {
-	if h := w.current(name); h.up {
+// Crash crashes the process of a host, if it runs.
+func (sim *Simulation) Crash(name string) {
+	if h := sim.hostNamed(name); h.up {
 		h.crash()
 	}
 }
 
-// changeMembers proposes what an operator would do next at the leader.
-func (w *Simulation) changeMembers() {
-	leader := w.leader()
+// changeMembers transfers leadership or proposes a membership change that
+// repairs the group.
+func (sim *Simulation) changeMembers() {
+	leader := sim.leader()
 	if leader == nil {
 		return
 	}
-	if w.source.Int(4) == 0 {
-		if id := w.anyHost().id; id != leader.id {
+	if sim.source.Int(4) == 0 {
+		if id := sim.randomHost().id; id != leader.id {
 			_ = leader.replica.Transfer(id)
 			leader.flush()
 		}
 		return
 	}
-	w.repairStep(leader)
+	sim.repairStep(leader)
 	leader.flush()
 }
 
-// repairStep proposes one change that brings the membership closer to all
-// hosts that have a disk being voters and no others being members.
-func (w *Simulation) repairStep(leader *host) {
-	for _, h := range w.hosts {
-		if !h.gone && h.id != leader.id && roleOf(leader.replica.Members(), h.id) == quorum.Learner {
+// repairStep proposes one change towards the repaired membership: it promotes a
+// learner, else adds a host as a learner, else removes a host without a disk.
+func (sim *Simulation) repairStep(leader *host) {
+	for _, h := range sim.hosts {
+		if !h.diskLost && h.id != leader.id && roleOf(leader.replica.Members(), h.id) == quorum.Learner {
 			if _, _, err := leader.replica.Promote(h.id); err == nil {
 				return
 			}
 		}
 	}
-	for _, h := range w.hosts {
-		if !h.gone && roleOf(leader.replica.Members(), h.id) == "" {
+	for _, h := range sim.hosts {
+		if !h.diskLost && roleOf(leader.replica.Members(), h.id) == "" {
 			_, _, _ = leader.replica.AddLearner(&wire.Member{Name: h.name, Identity: h.id, Address: h.id})
 			return
 		}
 	}
-	for _, h := range w.hosts {
-		if h.gone && roleOf(leader.replica.Members(), h.id) != "" {
+	for _, h := range sim.hosts {
+		if h.diskLost && roleOf(leader.replica.Members(), h.id) != "" {
 			_, _, _ = leader.replica.Remove(h.id)
 			return
 		}
@@ -108,12 +112,12 @@
 	return ""
 }
 
-// Repaired reports whether all hosts with a disk are voters, and no others, in
-// the newest committed membership.
-func (w *Simulation) Repaired() bool {
-	for _, h := range w.hosts {
-		role := roleOf(w.members, h.id)
-		if (h.gone && role != "") || (!h.gone && role != quorum.Voter) {
+// Repaired reports whether, in the newest committed membership, exactly the
+// hosts with a disk are members, and all of them as voters.
+func (sim *Simulation) Repaired() bool {
+	for _, h := range sim.hosts {
+		role := roleOf(sim.members, h.id)
+		if (h.diskLost && role != "") || (!h.diskLost && role != quorum.Voter) {
 			return false
 		}
 	}
