--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -1,6 +1,6 @@
-// Package control speaks to the control hosts: it watches for new versions of
-// the rules, reports this host's state, and claims requests that must run at
-// most once.
+// Package control is an entry host's client of the control hosts: it watches
+// for new versions of the rules, reports this host's state, and claims requests
+// that must run at most once.
 //
 // Usage:
 //
@@ -25,13 +25,13 @@
 	Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error)
 }
 
-// Client calls the control hosts in turn until one answers.
+// Client calls the control hosts one after another until one responds.
 type Client struct {
-	hosts []peer
-	next  atomic.Uint32 // host that answered last
+	hosts     []endpoint
+	preferred atomic.Uint32 // index of the host that responded last
 }
 
-type peer struct {
+type endpoint struct {
 	claims wire.Claims
 }
 
@@ -40,58 +40,63 @@
 	c := &Client{}
 	for _, address := range addresses {
 		url := "http://" + address
-		c.hosts = append(c.hosts, peer{
+		c.hosts = append(c.hosts, endpoint{
 			claims: wire.NewClaimsProtobufClient(url, client),
 		})
 	}
 	return c
 }
 
-// hostLimit bounds the wait for one control host, so that a silent one leaves
-// time for the others.
-const hostLimit = 600 * time.Millisecond
+// hostTimeout bounds the call to one control host, so that an unresponsive one
+// leaves time to try the others.
+const hostTimeout = 600 * time.Millisecond
 
-// try calls the hosts in turn, the one that answered last first. A call may
-// reach several hosts; claims carry an id that makes them one.
-func try[T any](ctx context.Context, c *Client, call func(ctx context.Context, p peer) (T, error)) (T, error) {
+// callHosts tries the hosts one after another, starting with the one that
+// responded last. A call may reach several hosts; the id in each claim makes
+// repeated calls idempotent.
+func callHosts[T any](ctx context.Context, c *Client, call func(ctx context.Context, e endpoint) (T, error)) (T, error) {
 	var zero T
 	if len(c.hosts) == 0 {
-		return zero, errors.New("no control host is set")
+		return zero, errors.New("no control hosts configured")
 	}
-	start := c.next.Load()
-	var last error
+	start := c.preferred.Load()
+	var lastErr error
 	for n := range uint32(len(c.hosts)) {
 		at := (start + n) % uint32(len(c.hosts))
-		response, err := tryOne(ctx, c.hosts[at], call)
+		response, err := callHost(ctx, c.hosts[at], call)
 		if err == nil {
-			c.next.Store(at)
+			c.preferred.Store(at)
 			return response, nil
 		}
-		last = err
+		lastErr = err
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return zero, errors.Wrap(last, "call control hosts")
+	return zero, errors.Wrap(lastErr, "call control hosts")
 }
 
-func tryOne[T any](ctx context.Context, p peer, call func(ctx context.Context, p peer) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, hostLimit)
+func callHost[T any](ctx context.Context, e endpoint, call func(ctx context.Context, e endpoint) (T, error)) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
 	defer cancel()
-	return call(ctx, p)
+	return call(ctx, e)
 }
 
 // Claim claims a key.
 func (c *Client) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-	return try(ctx, c, func(ctx context.Context, p peer) (*wire.ClaimResponse, error) { return p.claims.Claim(ctx, req) })
+	return callHosts(ctx, c, func(ctx context.Context, e endpoint) (*wire.ClaimResponse, error) { return e.claims.Claim(ctx, req) })
 }
 
-// Complete stores the answer of a claimed request.
+// Complete stores the response to a claimed request.
 func (c *Client) Complete(ctx context.Context, req *wire.CompleteRequest) (*wire.CompleteResponse, error) {
-	return try(ctx, c, func(ctx context.Context, p peer) (*wire.CompleteResponse, error) { return p.claims.Complete(ctx, req) })
+	return callHosts(ctx, c, func(ctx context.Context, e endpoint) (*wire.CompleteResponse, error) {
+		return e.claims.Complete(ctx, req)
+	})
 }
 
-// Release gives up a claim that was never dispatched.
+// Release releases a claim whose request was never dispatched.
 func (c *Client) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
-	return try(ctx, c, func(ctx context.Context, p peer) (*wire.ReleaseResponse, error) { return p.claims.Release(ctx, req) })
+	return callHosts(ctx, c, func(ctx context.Context, e endpoint) (*wire.ReleaseResponse, error) {
+		return e.claims.Release(ctx, req)
+	})
 }
--- a/entry/control/client_test.go
+++ b/entry/control/client_test.go
@@ -13,19 +13,19 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-type granting struct{ wire.Claims }
+type grantingClaims struct{ wire.Claims }
 
-func (granting) Claim(context.Context, *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+func (grantingClaims) Claim(context.Context, *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	return &wire.ClaimResponse{State: wire.ClaimState_CLAIM_GRANTED}, nil
 }
 
-func TestSilentControlHostLeavesTimeForTheOthers(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+func TestUnresponsiveControlHostLeavesTimeForTheOthers(t *testing.T) {
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	t.Cleanup(func() { _ = silent.Close() })
-	good := httptest.NewServer(wire.NewClaimsServer(granting{}))
-	t.Cleanup(good.Close)
-	client := control.NewClient([]string{silent.Addr().String(), good.Listener.Addr().String()}, &http.Client{})
+	t.Cleanup(func() { _ = unresponsive.Close() })
+	responsive := httptest.NewServer(wire.NewClaimsServer(grantingClaims{}))
+	t.Cleanup(responsive.Close)
+	client := control.NewClient([]string{unresponsive.Addr().String(), responsive.Listener.Addr().String()}, &http.Client{})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	response, err := client.Claim(ctx, &wire.ClaimRequest{})
--- a/entry/control/primary.go
+++ b/entry/control/primary.go
@@ -8,33 +8,36 @@
 	"github.com/pkg/errors"
 )
 
-// One control host, the primary, tells of instances, so that each change comes
-// once. Another one takes over as soon as it does not answer or has no quorum.
+// Only one control host, the primary, sends changes of instances, so that each
+// change is received once. Another control host becomes the primary as soon as
+// the current one fails to respond or has no quorum.
 
-// errElected ends a poll of a control host that became the primary.
-var errElected = errors.New("the control host is to tell of instances")
+// errBecamePrimary cancels the pending poll of a control host that was elected
+// primary.
+var errBecamePrimary = errors.New("control host elected primary")
 
 // WithZone prefers a primary in this host's availability zone.
 func WithZone(zone string) WatchOption { return func(w *Watch) { w.zone = zone } }
 
-func (w *Watch) enter(host *watched) {
+func (w *Watch) addHost(host *polledHost) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.followed[host.address] = host
-	w.elect()
+	w.polled[host.address] = host
+	w.electPrimary()
 }
 
-func (w *Watch) leave(host *watched) {
+func (w *Watch) removeHost(host *polledHost) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.followed[host.address] == host {
-		delete(w.followed, host.address)
+	if w.polled[host.address] == host {
+		delete(w.polled, host.address)
 	}
-	w.elect()
+	w.electPrimary()
 }
 
-// begin returns the context of a poll, and whether it asks for instances.
-func (w *Watch) begin(ctx context.Context, host *watched) (context.Context, bool) {
+// beginPoll returns the context of a poll, and whether the poll requests
+// instances.
+func (w *Watch) beginPoll(ctx context.Context, host *polledHost) (context.Context, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -42,8 +45,9 @@
 	return ctx, w.members != nil && w.primary == host
 }
 
-// judge takes what a poll showed of a control host.
-func (w *Watch) judge(host *watched, healthy bool, zone string) {
+// recordPoll records the health of a control host as seen by a poll, and elects
+// a primary if needed.
+func (w *Watch) recordPoll(host *polledHost, healthy bool, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	host.cancel(nil)
@@ -54,26 +58,27 @@
 		return
 	}
 	host.healthy = healthy
-	w.elect()
+	w.electPrimary()
 }
 
-// elect makes the best control host the primary: a healthy one before others,
-// then one of this zone, then by address. The lock is held.
-func (w *Watch) elect() {
+// electPrimary makes the best control host the primary: a healthy one before
+// others, then one in this zone, then by address. The caller must hold the
+// lock.
+func (w *Watch) electPrimary() {
 	if w.members == nil {
 		return
 	}
 	best := w.primary
-	if best != nil && w.followed[best.address] != best {
+	if best != nil && w.polled[best.address] != best {
 		best = nil
 	}
-	all := make([]*watched, 0, len(w.followed))
-	for _, host := range w.followed {
+	all := make([]*polledHost, 0, len(w.polled))
+	for _, host := range w.polled {
 		all = append(all, host)
 	}
-	slices.SortFunc(all, func(a, b *watched) int { return strings.Compare(a.address, b.address) })
+	slices.SortFunc(all, func(a, b *polledHost) int { return strings.Compare(a.address, b.address) })
 	for _, host := range all {
-		if best == nil || w.better(host, best) {
+		if best == nil || w.preferred(host, best) {
 			best = host
 		}
 	}
@@ -82,11 +87,11 @@
 	}
 	w.primary = best
 	if best != nil && best.cancel != nil {
-		best.cancel(errElected) // its next poll asks for instances
+		best.cancel(errBecamePrimary) // its next poll requests instances
 	}
 }
 
-func (w *Watch) better(a, b *watched) bool {
+func (w *Watch) preferred(a, b *polledHost) bool {
 	if a.healthy != b.healthy {
 		return a.healthy
 	}
--- a/entry/control/primary_test.go
+++ b/entry/control/primary_test.go
@@ -16,21 +16,22 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// tellingHost is a control host that tells of instances.
-type tellingHost struct {
+// fakePrimary is a fake control host that reports instance revisions when it is
+// the primary.
+type fakePrimary struct {
 	wire.Rules
 	zone string
 
 	mu       sync.Mutex
-	cut      bool
-	frozen   bool // answers nothing, and refuses nothing
+	noQuorum bool
+	hung     bool // accepts calls but never responds
 	version  uint64
 	revision uint64
-	polls    int // that asked for instances
+	polls    int // that requested instances
 	changed  chan struct{}
 }
 
-func (h *tellingHost) set(change func()) {
+func (h *fakePrimary) set(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
@@ -38,18 +39,19 @@
 	h.changed = make(chan struct{})
 }
 
-func (h *tellingHost) asked() int {
+func (h *fakePrimary) instancePolls() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.polls
 }
 
-// Watch answers with news, at the end of the wait, or when the quorum is lost.
-func (h *tellingHost) Watch(ctx context.Context, req *wire.WatchRequest) (*wire.WatchResponse, error) {
+// Watch responds to a newer version or revision, at the end of the wait, or when
+// the quorum is lost.
+func (h *fakePrimary) Watch(ctx context.Context, req *wire.WatchRequest) (*wire.WatchResponse, error) {
 	timer := time.NewTimer(time.Duration(req.GetWaitMs()) * time.Millisecond)
 	defer timer.Stop()
 	h.mu.Lock()
-	if h.frozen {
+	if h.hung {
 		h.mu.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -58,10 +60,10 @@
 	if req.GetInstances() {
 		h.polls++
 	}
-	wasCut := h.cut
+	hadNoQuorum := h.noQuorum
 	for waited := false; !waited; {
 		newer := h.version > req.GetKnownVersion()
-		if newer || req.GetInstances() && (h.cut && !wasCut || h.revision > req.GetKnownInstances()) {
+		if newer || req.GetInstances() && (h.noQuorum && !hadNoQuorum || h.revision > req.GetKnownInstances()) {
 			break
 		}
 		changed := h.changed
@@ -73,7 +75,7 @@
 		case <-ctx.Done():
 		}
 		h.mu.Lock()
-		for h.frozen && ctx.Err() == nil {
+		for h.hung && ctx.Err() == nil {
 			h.mu.Unlock()
 			<-ctx.Done()
 			h.mu.Lock()
@@ -82,11 +84,11 @@
 			return nil, ctx.Err()
 		}
 	}
-	// An answer with a newer version is not confirmed, whether or not there is a quorum.
-	response := &wire.WatchResponse{Zone: h.zone, Quorum: !h.cut, Stale: h.cut || h.version > req.GetKnownVersion()}
+	// A response with a newer version is unconfirmed, with or without a quorum.
+	response := &wire.WatchResponse{Zone: h.zone, Quorum: !h.noQuorum, Stale: h.noQuorum || h.version > req.GetKnownVersion()}
 	response.Version = versionOf(int(h.version))
 	if h.version > req.GetKnownVersion() {
-		response.Text = textOf(int(h.version))
+		response.Text = versionText(int(h.version))
 	}
 	if req.GetInstances() {
 		response.InstancesRevision = h.revision
@@ -94,10 +96,10 @@
 	return response, nil
 }
 
-type tellingGroup map[string]*tellingHost
+type fakePrimaries map[string]*fakePrimary
 
-// RoundTrip serves a call by the host that it names.
-func (g tellingGroup) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip dispatches a call to the fake host named in its URL.
+func (g fakePrimaries) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	wire.NewRulesServer(g[r.URL.Host]).ServeHTTP(w, r)
 	if err := r.Context().Err(); err != nil {
@@ -106,37 +108,37 @@
 	return w.Result(), nil
 }
 
-// known follows the newest revision.
-type known struct {
+// fakeMembership records the newest revision.
+type fakeMembership struct {
 	mu       sync.Mutex
 	revision uint64
 }
 
-func (k *known) Revision() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.revision
+func (m *fakeMembership) Revision() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.revision
 }
 
-func (k *known) Apply(_ []*wire.Instance, revision uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.revision = max(k.revision, revision)
+func (m *fakeMembership) Apply(_ []*wire.Instance, revision uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.revision = max(m.revision, revision)
 }
 
-func (*known) AddSuspects([]*wire.Suspect) {}
+func (*fakeMembership) AddSuspects([]*wire.Suspect) {}
 
-func (*known) SetActiveHosts(int) {}
+func (*fakeMembership) SetActiveHosts(int) {}
 
-// watchPrimary runs a watch of three hosts, of which c1 is in its zone.
-func watchPrimary(t *testing.T, k *known) (g tellingGroup, stop func()) {
-	g = tellingGroup{}
+// watchPrimary runs a watch of three hosts, of which c1 is in the watch's zone.
+func watchPrimary(t *testing.T, m *fakeMembership) (g fakePrimaries, stop func()) {
+	g = fakePrimaries{}
 	for name, zone := range map[string]string{"c0": "a", "c1": "b", "c2": "c"} {
-		g[name] = &tellingHost{zone: zone, version: 1, revision: 1, changed: make(chan struct{})}
+		g[name] = &fakePrimary{zone: zone, version: 1, revision: 1, changed: make(chan struct{})}
 	}
 	w := control.NewWatch(func() []string { return []string{"c0", "c1", "c2"} }, &http.Client{Transport: g}, rules.NewTable(),
 		func() *wire.HostReport { return &wire.HostReport{} }, func([]*wire.GossipHost) {}, hclog.NewNullLogger(),
-		control.WithMembership(k), control.WithZone("b"))
+		control.WithMembership(m), control.WithZone("b"))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -149,43 +151,47 @@
 	}
 }
 
-// drainKnown is the time in which a drain must be known to every entry host.
-const drainKnown = 2 * time.Second
+// drainDeadline is the time within which a drain must reach every entry host.
+const drainDeadline = 2 * time.Second
 
-func TestADrainIsKnownInTimeThoughThePrimaryStandsStill(t *testing.T) {
+// Guards against a drain that arrives late because the primary hangs: the watch
+// must elect another primary within the deadline.
+func TestDrainIsAppliedInTimeWhenThePrimaryHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var k known
-		g, stop := watchPrimary(t, &k)
+		var m fakeMembership
+		g, stop := watchPrimary(t, &m)
 		defer stop()
 		time.Sleep(10 * time.Second)
-		g["c1"].set(func() { g["c1"].frozen = true })
+		g["c1"].set(func() { g["c1"].hung = true })
 		for _, name := range []string{"c0", "c2"} { // the drain is committed without it
 			g[name].set(func() { g[name].revision = 2 })
 		}
-		time.Sleep(drainKnown - 200*time.Millisecond) // changes are gathered for 150 ms
-		must.Eq(t, 2, k.Revision())
+		time.Sleep(drainDeadline - 200*time.Millisecond) // control hosts batch changes for 150 ms
+		must.Eq(t, 2, m.Revision())
 	})
 }
 
-func TestAnotherHostTellsOfInstancesOnceThePrimaryIsCutOff(t *testing.T) {
+// Guards against a primary without a quorum that keeps its role, also after
+// unconfirmed responses from every control host.
+func TestAnotherHostBecomesPrimaryWhenThePrimaryLosesItsQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var k known
-		g, stop := watchPrimary(t, &k)
+		var m fakeMembership
+		g, stop := watchPrimary(t, &m)
 		defer stop()
 		time.Sleep(10 * time.Second)
-		before := g["c1"].asked()
+		before := g["c1"].instancePolls()
 		time.Sleep(30 * time.Second)
-		must.Greater(t, before, g["c1"].asked(), must.Sprint("the host of the own zone tells"))
-		for _, name := range []string{"c0", "c2", "c1"} { // each answer is one that nobody confirmed
+		must.Greater(t, before, g["c1"].instancePolls(), must.Sprint("the control host in the local zone is primary"))
+		for _, name := range []string{"c0", "c2", "c1"} { // each response is unconfirmed
 			g[name].set(func() { g[name].version = 2 })
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		g["c1"].set(func() { g["c1"].cut = true })
+		g["c1"].set(func() { g["c1"].noQuorum = true })
 		time.Sleep(time.Second)
 		g["c0"].set(func() { g["c0"].revision = 2 })
 		g["c2"].set(func() { g["c2"].revision = 2 })
 		time.Sleep(500 * time.Millisecond)
-		must.Eq(t, 2, k.Revision())
+		must.Eq(t, 2, m.Revision())
 	})
 }
--- a/entry/control/settle.go
+++ b/entry/control/settle.go
@@ -9,28 +9,29 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Bounds of the settlement of claims.
+// Limits and metrics of the settlement of claims.
 const (
-	maxUnsettled   = 4096
-	settleTry      = time.Second
-	firstPause     = 50 * time.Millisecond
-	lastPause      = 2 * time.Second
-	settleGiveUp   = 10 * time.Minute
-	waitStep       = 20 * time.Millisecond
-	abandonedName  = "snipebeam_claims_abandoned_total"
-	settledName    = "snipebeam_claims_settled_total"
-	releaseRefused = "snipebeam_claim_releases_refused_total"
+	maxUnsettled        = 4096
+	settleTimeout       = time.Second
+	minSettleBackoff    = 50 * time.Millisecond
+	maxSettleBackoff    = 2 * time.Second
+	settleDeadline      = 10 * time.Minute
+	waitPollInterval    = 20 * time.Millisecond
+	abandonedName       = "snipebeam_claims_abandoned_total"
+	settledName         = "snipebeam_claims_settled_total"
+	refusedReleasesName = "snipebeam_claim_releases_refused_total"
 )
 
 var (
-	abandoned = metrics.GetOrCreateCounter(abandonedName)
-	settled   = metrics.GetOrCreateCounter(settledName)
-	refusals  = metrics.GetOrCreateCounter(releaseRefused)
+	abandoned       = metrics.GetOrCreateCounter(abandonedName)
+	settled         = metrics.GetOrCreateCounter(settledName)
+	refusedReleases = metrics.GetOrCreateCounter(refusedReleasesName)
 )
 
-// Settler completes and releases claims in the background, each until a
-// control host acknowledges it. What cannot be settled in time is counted; its
-// claim stays held, so that resends are told "unknown".
+// Settler completes and releases claims in the background, retrying each until
+// a control host acknowledges it. Claims that cannot be settled before the
+// deadline are counted as abandoned; they remain claimed, so that a resent
+// request gets the outcome "unknown".
 type Settler struct {
 	claims Claimer
 
@@ -41,15 +42,15 @@
 // NewSettler returns a settler.
 func NewSettler(claims Claimer) *Settler { return &Settler{claims: claims} }
 
-// Unsettled returns how many claims wait for an acknowledgement.
+// Unsettled returns the number of claims without an acknowledgement.
 func (s *Settler) Unsettled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unsettled
 }
 
-// Complete stores the answer of a claimed request; nil means that it is not
-// known.
+// Complete stores the response to a claimed request; nil means that it is
+// unknown.
 func (s *Settler) Complete(req *wire.ClaimRequest, answer *wire.StoredAnswer) {
 	if answer == nil {
 		answer = &wire.StoredAnswer{BodyDropped: true}
@@ -60,25 +61,25 @@
 	})
 }
 
-// Release gives up a claim that was not and will not be dispatched.
+// Release releases a claim whose request was not and will not be dispatched.
 func (s *Settler) Release(req *wire.ClaimRequest) {
 	s.settle(func(ctx context.Context) error {
 		response, err := s.claims.Release(ctx, &wire.ReleaseRequest{Key: req.GetKey(), ClaimId: req.GetClaimId()})
 		if err == nil && !response.GetReleased() {
-			refusals.Inc()
+			refusedReleases.Inc()
 		}
 		return err
 	})
 }
 
 func (s *Settler) settle(try func(ctx context.Context) error) {
-	if !s.begin() {
+	if !s.reserve() {
 		abandoned.Inc()
 		return
 	}
 	go func() {
-		defer s.end()
-		if !keepTrying(try) {
+		defer s.done()
+		if !retryUntilDeadline(try) {
 			abandoned.Inc()
 			return
 		}
@@ -86,10 +87,10 @@
 	}()
 }
 
-func keepTrying(try func(ctx context.Context) error) bool {
-	until := time.Now().Add(settleGiveUp)
-	for wait := firstPause; time.Now().Before(until); wait = min(2*wait, lastPause) {
-		ctx, cancel := context.WithTimeout(context.Background(), settleTry)
+func retryUntilDeadline(try func(ctx context.Context) error) bool {
+	until := time.Now().Add(settleDeadline)
+	for wait := minSettleBackoff; time.Now().Before(until); wait = min(2*wait, maxSettleBackoff) {
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		err := try(ctx)
 		cancel()
 		if err == nil {
@@ -100,7 +101,7 @@
 	return false
 }
 
-func (s *Settler) begin() bool {
+func (s *Settler) reserve() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unsettled >= maxUnsettled {
@@ -110,14 +111,14 @@
 	return true
 }
 
-func (s *Settler) end() {
+func (s *Settler) done() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unsettled--
 }
 
-// Wait waits until everything is settled or the context ends. It returns how
-// many claims are left.
+// Wait blocks until all claims are settled or the context ends. It returns the
+// number of unsettled claims.
 func (s *Settler) Wait(ctx context.Context) int {
 	for {
 		n := s.Unsettled()
@@ -127,7 +128,7 @@
 		select {
 		case <-ctx.Done():
 			return n
-		case <-time.After(waitStep):
+		case <-time.After(waitPollInterval):
 		}
 	}
 }
--- a/entry/control/transport.go
+++ b/entry/control/transport.go
@@ -9,52 +9,52 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Bytes of HTTP on the links of the watch, without TCP and IP headers.
+// HTTP bytes on the connections of the watch, without TCP and IP headers.
 var (
 	sentBytes     = metrics.NewCounter(`snipebeam_watch_sent_bytes_total`)
 	receivedBytes = metrics.NewCounter(`snipebeam_watch_received_bytes_total`)
 )
 
-// A link that lost its path while a long poll waits is noticed by the probes
-// of TCP, after about two seconds.
+// TCP keep-alive probes detect a connection whose network path fails during a
+// long poll, after about two seconds.
 const (
-	dialLimit     = 300 * time.Millisecond // a host without power does not refuse
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 2
-	idleLinks     = 2
+	dialTimeout       = 300 * time.Millisecond // a host that is powered off does not refuse connections
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
+	maxIdleConns      = 2
 )
 
-// NewTransport returns a transport for the watch, which counts its bytes and
-// notices silent links.
+// NewTransport returns a transport for the watch that counts bytes and detects
+// dead connections.
 func NewTransport() *http.Transport {
-	dialer := &net.Dialer{Timeout: dialLimit, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	}}
 	return &http.Transport{
-		MaxIdleConnsPerHost: idleLinks, IdleConnTimeout: time.Minute, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 	}
 }
 
-// countedConn counts what passes.
-type countedConn struct{ net.Conn }
+// countingConn counts the bytes read and written.
+type countingConn struct{ net.Conn }
 
 // Read counts received bytes.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	receivedBytes.Add(n)
 	return n, err
 }
 
 // Write counts sent bytes.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	sentBytes.Add(n)
 	return n, err
--- a/entry/control/version.go
+++ b/entry/control/version.go
@@ -9,12 +9,13 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// errDigest means that a text is not the one that was accepted.
-var errDigest = errors.New("the text's digest is not the version's")
+// errDigestMismatch means that a text differs from the one that was accepted.
+var errDigestMismatch = errors.New("digest of the rules text does not match the version")
 
-// take puts a newer version in force. A stale answer may bring one, since it
-// was accepted by a quorum once, but confirms nothing.
-func (w *Watch) take(response *wire.WatchResponse, known *rules.InForce) error {
+// applyVersion puts a newer version in force. A stale response may carry one,
+// since a quorum accepted that version once, but it does not confirm that the
+// version is the newest.
+func (w *Watch) applyVersion(response *wire.WatchResponse, known *rules.InForce) error {
 	version := response.GetVersion()
 	if version.GetNumber() > w.table.Current().Number() {
 		if err := w.advance(response, known); err != nil {
@@ -28,7 +29,7 @@
 }
 
 func (w *Watch) advance(response *wire.WatchResponse, known *rules.InForce) error {
-	text, err := textOf(response, known)
+	text, err := versionText(response, known)
 	if err != nil {
 		return err
 	}
@@ -42,20 +43,20 @@
 	return nil
 }
 
-func textOf(response *wire.WatchResponse, known *rules.InForce) (string, error) {
+func versionText(response *wire.WatchResponse, known *rules.InForce) (string, error) {
 	text := response.GetText()
 	if len(response.GetDelta()) > 0 {
 		var err error
-		older := known.Text()
+		base := known.Text()
 		if response.GetWhole() {
-			older = ""
+			base = ""
 		}
-		if text, err = delta.Apply(older, response.GetDelta()); err != nil {
+		if text, err = delta.Apply(base, response.GetDelta()); err != nil {
 			return "", err
 		}
 	}
 	if delta.Digest(text) != response.GetVersion().GetDigest() {
-		return "", errDigest
+		return "", errDigestMismatch
 	}
 	return text, nil
 }
--- a/entry/control/watch.go
+++ b/entry/control/watch.go
@@ -15,24 +15,24 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Times of the watch.
+// Wait times and timeouts of the watch.
 const (
-	watchWait  = 3 * time.Second
-	watchLimit = watchWait + 2*time.Second // the control host may ask its quorum for a second
-	// The primary answers often, so that one that stands still is noticed well
-	// within the two seconds in which a drain must be known.
-	primaryWait  = 500 * time.Millisecond
-	primaryLimit = primaryWait + 700*time.Millisecond
-	firstWait    = 200 * time.Millisecond
-	retryFirst   = 25 * time.Millisecond
-	retryLast    = 400 * time.Millisecond
-	leaveLimit   = 500 * time.Millisecond
+	longPollWait    = 3 * time.Second
+	longPollTimeout = longPollWait + 2*time.Second // the control host may take a second to confirm with its quorum
+	// The primary responds often, so that a hung one is detected well within the
+	// two seconds in which a drain must reach every entry host.
+	primaryPollWait     = 500 * time.Millisecond
+	primaryPollTimeout  = primaryPollWait + 700*time.Millisecond
+	unconfirmedPollWait = 200 * time.Millisecond
+	minRetryDelay       = 25 * time.Millisecond
+	maxRetryDelay       = 400 * time.Millisecond
+	reportTimeout       = 500 * time.Millisecond
 )
 
 // Watch keeps the rules table at the newest version. It polls every control
-// host at the same time: the first one that has applied a version tells it, so
-// no control host that failed, is cut off or is stale can hold it back, and
-// each one has this host's report.
+// host concurrently: the first one that has applied a version delivers it, so
+// that a failed, partitioned or stale control host cannot delay it, and every
+// control host receives this host's report.
 type Watch struct {
 	client *http.Client
 	seeds  func() []string
@@ -41,117 +41,120 @@
 	join   func(seeds []*wire.GossipHost)
 	logger hclog.Logger
 
-	rates    func(rates []*wire.ServiceRate)
-	members  Membership
-	adopt    func(previous *wire.HostReport)
-	adopting sync.Once
+	rates       func(rates []*wire.ServiceRate)
+	members     Membership
+	restore     func(previous *wire.HostReport)
+	restoreOnce sync.Once
 
-	zone     string
-	mu       sync.Mutex
-	primary  *watched // that tells of instances
-	followed map[string]*watched
-	group    []string      // addresses of the group's members, as they were told last
-	told     chan struct{} // holds one when the group changed
+	zone         string
+	mu           sync.Mutex
+	primary      *polledHost // sends changes of instances
+	polled       map[string]*polledHost
+	group        []string      // addresses of the control group's members, as last received
+	groupChanged chan struct{} // signals a change of the group; has room for one signal
 }
 
 // WatchOption changes one property of a watch.
 type WatchOption func(*Watch)
 
-// WithRates is told the services' rates with each answer.
+// WithRates calls rates with the services' rates from each response.
 func WithRates(rates func(rates []*wire.ServiceRate)) WatchOption {
 	return func(w *Watch) { w.rates = rates }
 }
 
-// WithRestore is told the last report of this host before its restart, once.
-func WithRestore(adopt func(previous *wire.HostReport)) WatchOption {
-	return func(w *Watch) { w.adopt = adopt }
+// WithRestore calls restore once, with the last report of this host before its
+// restart.
+func WithRestore(restore func(previous *wire.HostReport)) WatchOption {
+	return func(w *Watch) { w.restore = restore }
 }
 
-// Membership takes what control hosts tell of instances and suspects.
+// Membership receives updates of instances and suspects from the control hosts.
 type Membership interface {
-	// Revision returns the revision of the newest record of an instance.
+	// Revision returns the revision of the newest instance record applied.
 	Revision() uint64
-	// Apply takes records of instances, oldest first, up to a revision.
+	// Apply applies instance records, oldest first, up to a revision.
 	Apply(instances []*wire.Instance, revision uint64)
-	// AddSuspects takes fingerprints of requests that cost instances.
+	// AddSuspects adds fingerprints of requests suspected of crashing instances.
 	AddSuspects(suspects []*wire.Suspect)
-	// SetActiveHosts takes the number of entry hosts that serve one name.
+	// SetActiveHosts sets the number of entry hosts that serve the same name.
 	SetActiveHosts(hosts int)
 }
 
-// WithMembership learns instances and suspects from the control hosts.
+// WithMembership feeds a membership with the instances and suspects that the
+// primary control host sends.
 func WithMembership(m Membership) WatchOption { return func(w *Watch) { w.members = m } }
 
-// watched is one control host, followed by one goroutine.
-type watched struct {
-	address  string
-	rules    wire.Rules
-	suspects uint64 // revision of the suspects that it told last
-	whole    bool   // the next version is to be told whole
-	zone     string
-	healthy  bool                    // it answered last, and has a quorum
-	cancel   context.CancelCauseFunc // ends the poll that waits; guarded by the watch's lock
+// polledHost is one control host, polled by its own goroutine.
+type polledHost struct {
+	address          string
+	rules            wire.Rules
+	suspectsRevision uint64 // revision of the suspects last received from it
+	needsFullText    bool   // the next poll requests the full rules text, not a delta
+	zone             string
+	healthy          bool                    // the last poll succeeded and it has a quorum
+	cancel           context.CancelCauseFunc // cancels the pending poll; guarded by the watch's lock
 }
 
-// NewWatch returns a watch of the control hosts that seeds names now, and of
-// those that they name as members of their group; report describes this host at each poll, and join is told other entry hosts.
+// NewWatch returns a watch of the control hosts that seeds currently returns,
+// and of the members of their group that they report. The report function
+// describes this host at each poll; join is called with other entry hosts.
 func NewWatch(seeds func() []string, client *http.Client, table *rules.Table, report func() *wire.HostReport, join func([]*wire.GossipHost), logger hclog.Logger, opts ...WatchOption) *Watch {
-	w := &Watch{client: client, seeds: seeds, table: table, report: report, join: join, logger: logger.Named("control"), followed: map[string]*watched{}, told: make(chan struct{}, 1)}
+	w := &Watch{client: client, seeds: seeds, table: table, report: report, join: join, logger: logger.Named("control"), polled: map[string]*polledHost{}, groupChanged: make(chan struct{}, 1)}
 	for _, opt := range opts {
 		opt(w)
 	}
 	return w
 }
 
-// hostsInterval is how often the control hosts to watch are looked at when
-// nobody tells of a change: the seeds may be set anew.
-const hostsInterval = time.Second
+// hostsRefreshInterval is how often the set of control hosts is refreshed
+// without a reported change of the group, since the seeds may be reconfigured.
+const hostsRefreshInterval = time.Second
 
 // Run polls until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	followed := map[string]context.CancelFunc{}
-	ticker := time.NewTicker(hostsInterval)
+	cancels := map[string]context.CancelFunc{}
+	ticker := time.NewTicker(hostsRefreshInterval)
 	defer ticker.Stop()
 	for {
 		wanted := w.hosts()
-		for address, stop := range followed {
+		for address, cancel := range cancels {
 			if !slices.Contains(wanted, address) {
-				stop()
-				delete(followed, address)
+				cancel()
+				delete(cancels, address)
 			}
 		}
 		for _, address := range wanted {
-			if followed[address] != nil {
+			if cancels[address] != nil {
 				continue
 			}
-			hostCtx, stop := context.WithCancel(ctx)
-			followed[address] = stop
-			host := w.host(address)
-			w.enter(host)
+			hostCtx, cancel := context.WithCancel(ctx)
+			cancels[address] = cancel
+			host := w.newHost(address)
+			w.addHost(host)
 			group.Go(func() {
-				defer w.leave(host)
-				w.follow(hostCtx, host)
+				defer w.removeHost(host)
+				w.pollLoop(hostCtx, host)
 			})
 		}
 		select {
 		case <-ctx.Done():
-			for _, stop := range followed {
-				stop()
+			for _, cancel := range cancels {
+				cancel()
 			}
 			return
-		case <-w.told:
+		case <-w.groupChanged:
 		case <-ticker.C:
 		}
 	}
 }
 
-func (w *Watch) host(address string) *watched {
-	return &watched{address: address, rules: wire.NewRulesProtobufClient("http://"+address, w.client)}
+func (w *Watch) newHost(address string) *polledHost {
+	return &polledHost{address: address, rules: wire.NewRulesProtobufClient("http://"+address, w.client)}
 }
 
-// hosts returns the control hosts to watch: the seeds, and the members of the
+// hosts returns the control hosts to poll: the seeds and the members of the
 // group.
 func (w *Watch) hosts() []string {
 	w.mu.Lock()
@@ -161,8 +164,9 @@
 	return slices.Compact(all)
 }
 
-// learnGroup takes the members that a control host with a quorum named.
-func (w *Watch) learnGroup(addresses []string) {
+// updateGroup stores the group's members as reported by a control host with a
+// quorum.
+func (w *Watch) updateGroup(addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
@@ -175,105 +179,108 @@
 	w.group = addresses
 	w.logger.Info("control group", "hosts", addresses)
 	select {
-	case w.told <- struct{}{}:
+	case w.groupChanged <- struct{}{}:
 	default:
 	}
 }
 
-// follow polls one control host.
-func (w *Watch) follow(ctx context.Context, host *watched) {
-	silent, retry := false, retryFirst
+// pollLoop polls one control host until the context ends.
+func (w *Watch) pollLoop(ctx context.Context, host *polledHost) {
+	failing, delay := false, minRetryDelay
 	for ctx.Err() == nil {
 		err := w.poll(ctx, host)
 		if ctx.Err() != nil {
 			return
 		}
-		if (err != nil) != silent {
-			silent = err != nil
-			w.logger.Info("control host", "address", host.address, "answers", !silent, "error", err)
+		if (err != nil) != failing {
+			failing = err != nil
+			w.logger.Info("control host", "address", host.address, "answers", !failing, "error", err)
 		}
 		if err == nil {
-			retry = retryFirst
+			delay = minRetryDelay
 			continue
 		}
-		pause.For(ctx, retry+rand.N(retry))
-		retry = min(2*retry, retryLast)
+		pause.For(ctx, delay+rand.N(delay))
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// Report tells every control host this host's state at once.
+// Report sends this host's state to every control host immediately, without
+// waiting for the next poll.
 func (w *Watch) Report(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leaveLimit)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, address := range w.hosts() {
 		group.Go(func() {
-			// A control host that does not hear it learns it with the next poll, or
-			// shows this host as silent.
-			_, _ = w.host(address).rules.Watch(ctx, &wire.WatchRequest{Report: w.report(), KnownVersion: w.table.Current().Number()})
+			// A control host that misses the report receives it with the next poll, or
+			// lists this host as silent.
+			_, _ = w.newHost(address).rules.Watch(ctx, &wire.WatchRequest{Report: w.report(), KnownVersion: w.table.Current().Number()})
 		})
 	}
 	group.Wait()
 }
 
-func (w *Watch) poll(ctx context.Context, host *watched) error {
+func (w *Watch) poll(ctx context.Context, host *polledHost) error {
 	known := w.table.Current()
-	ctx, primary := w.begin(ctx, host)
-	wait, limit := w.wait(), watchLimit
-	if primary && known.Number() > 0 { // the first version may take longer
-		wait, limit = min(wait, primaryWait), primaryLimit
+	ctx, primary := w.beginPoll(ctx, host)
+	wait, timeout := w.pollWait(), longPollTimeout
+	if primary && known.Number() > 0 { // receiving the first version may take longer
+		wait, timeout = min(wait, primaryPollWait), primaryPollTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request := &wire.WatchRequest{Report: w.report(), KnownVersion: known.Number(), WaitMs: wait.Milliseconds(), Whole: host.whole}
+	request := &wire.WatchRequest{Report: w.report(), KnownVersion: known.Number(), WaitMs: wait.Milliseconds(), Whole: host.needsFullText}
 	if primary {
-		request.Instances, request.KnownInstances, request.KnownSuspects = true, w.members.Revision(), host.suspects
+		request.Instances, request.KnownInstances, request.KnownSuspects = true, w.members.Revision(), host.suspectsRevision
 	}
 	response, err := host.rules.Watch(ctx, request)
-	if errors.Is(context.Cause(ctx), errElected) {
+	if errors.Is(context.Cause(ctx), errBecamePrimary) {
 		return nil
 	}
 	if err != nil {
-		w.judge(host, false, "")
+		w.recordPoll(host, false, "")
 		return err
 	}
-	w.judge(host, response.GetQuorum(), response.GetZone())
-	host.whole = false
-	w.learn(host, response, primary)
-	if err := w.take(response, known); err != nil {
-		host.whole = true
-		w.logger.Error("a version cannot be put in force", "version", response.GetVersion().GetNumber(), "error", err)
+	w.recordPoll(host, response.GetQuorum(), response.GetZone())
+	host.needsFullText = false
+	w.applyResponse(host, response, primary)
+	if err := w.applyVersion(response, known); err != nil {
+		host.needsFullText = true
+		w.logger.Error("failed to put version in force", "version", response.GetVersion().GetNumber(), "error", err)
 		return err
 	}
 	return nil
 }
 
-// learn takes what an answer tells beside the rules.
-func (w *Watch) learn(host *watched, response *wire.WatchResponse, primary bool) {
+// applyResponse applies everything in a response except the rules.
+func (w *Watch) applyResponse(host *polledHost, response *wire.WatchResponse, primary bool) {
 	w.join(response.GetSeeds())
 	if primary {
 		w.members.Apply(response.GetInstances(), response.GetInstancesRevision())
 		w.members.AddSuspects(response.GetSuspects())
 		w.members.SetActiveHosts(int(response.GetActiveHosts()))
-		host.suspects = response.GetSuspectsRevision()
+		host.suspectsRevision = response.GetSuspectsRevision()
 	}
 	if !response.GetStale() {
-		w.learnGroup(response.GetControlHosts())
+		w.updateGroup(response.GetControlHosts())
 	}
-	// A control host that is cut off, or has just started, heard few reports.
+	// A control host that is partitioned, or has just started, has received few
+	// reports; its rates are incomplete.
 	if rates := response.GetRates(); w.rates != nil && !response.GetStale() && len(rates) > 0 {
 		w.rates(rates)
 	}
-	if previous := response.GetPrevious(); previous != nil && w.adopt != nil {
-		w.adopting.Do(func() { w.adopt(previous) })
+	if previous := response.GetPrevious(); previous != nil && w.restore != nil {
+		w.restoreOnce.Do(func() { w.restore(previous) })
 	}
 }
 
-// wait is short while a quorum has not confirmed the version that a stale
-// answer brought, since this host takes no callers before.
-func (w *Watch) wait() time.Duration {
+// pollWait returns the wait time of a long poll. It is short while a version
+// from a stale response is not confirmed by a quorum, since this host accepts
+// no callers before that.
+func (w *Watch) pollWait() time.Duration {
 	if w.table.Current().Number() > 0 && !w.table.Learned() {
-		return firstWait
+		return unconfirmedPollWait
 	}
-	return watchWait
+	return longPollWait
 }
--- a/entry/control/watch_test.go
+++ b/entry/control/watch_test.go
@@ -27,23 +27,24 @@
 
 const controlHosts = 3
 
-// probesTime is when the probes of TCP end a link that lost its path.
-const probesTime = 2 * time.Second
+// keepAliveTimeout is when TCP keep-alive closes a connection whose network path
+// failed.
+const keepAliveTimeout = 2 * time.Second
 
-// slowTime is how late a slow control host answers.
-const slowTime = 700 * time.Millisecond
+// slowDelay is the response delay of a slow control host.
+const slowDelay = 700 * time.Millisecond
 
-// state says how a control host behaves.
+// state is the behaviour of a fake control host.
 type state int
 
 const (
-	current state = iota
-	cutOff        // has no quorum and gets no new versions
-	down          // refuses links
-	silent        // its links lose their path; the probes of TCP end them
-	hung          // answers nothing until it goes on
-	broken        // sends another text, unless asked for the whole
-	slow          // answers late with what it knew before
+	current     state = iota
+	noQuorum          // has no quorum and gets no new versions
+	down              // refuses connections
+	unreachable       // its network path fails; TCP keep-alive closes its connections
+	hung              // does not respond until its state changes
+	corrupt           // sends a wrong text, unless the full text is requested
+	slow              // responds late, with the state from before the delay
 	states
 )
 
@@ -55,7 +56,7 @@
 	version int
 }
 
-// group is the control hosts and the version that they agreed on.
+// group is the fake control hosts and the version that they agreed on.
 type group struct {
 	mu      sync.Mutex
 	hosts   []*controlHost
@@ -71,10 +72,10 @@
 	return g
 }
 
-func textOf(n int) string { return fmt.Sprintf("route a # w: same\nroute b%d # w: y\n", n) }
+func versionText(n int) string { return fmt.Sprintf("route a # w: same\nroute b%d # w: y\n", n) }
 
 func versionOf(n int) *wire.Version {
-	return &wire.Version{Number: uint64(n), Digest: delta.Digest(textOf(n))}
+	return &wire.Version{Number: uint64(n), Digest: delta.Digest(versionText(n))}
 }
 
 // set changes the group and wakes long polls.
@@ -83,7 +84,7 @@
 	defer g.mu.Unlock()
 	change()
 	for _, h := range g.hosts {
-		if h.state != cutOff {
+		if h.state != noQuorum {
 			h.version = g.newest
 		}
 	}
@@ -113,8 +114,8 @@
 		switch {
 		case state == down:
 			return nil, twirp.WrapError(twirp.NewError(twirp.Unavailable, "down"), errors.New("down"))
-		case state == silent:
-			<-time.After(probesTime)
+		case state == unreachable:
+			<-time.After(keepAliveTimeout)
 			return nil, twirp.WrapError(twirp.NewError(twirp.Unavailable, "lost"), errors.New("lost"))
 		case state == hung:
 			select {
@@ -125,9 +126,9 @@
 			continue
 		case version > int(req.GetKnownVersion()) || waited:
 			if state == slow {
-				time.Sleep(slowTime)
+				time.Sleep(slowDelay)
 			}
-			return h.answer(req, state, version), nil
+			return h.respond(req, state, version), nil
 		}
 		select {
 		case <-changed:
@@ -139,55 +140,58 @@
 	}
 }
 
-func (h *controlHost) answer(req *wire.WatchRequest, state state, version int) *wire.WatchResponse {
+func (h *controlHost) respond(req *wire.WatchRequest, state state, version int) *wire.WatchResponse {
 	known := int(req.GetKnownVersion())
-	response := &wire.WatchResponse{Stale: state == cutOff || (version > known && known > 0)}
+	response := &wire.WatchResponse{Stale: state == noQuorum || (version > known && known > 0)}
 	if version > 0 {
 		response.Version = versionOf(version)
 	}
 	switch {
 	case version <= known:
-	case state == broken && !req.GetWhole():
-		response.Text = textOf(version + 1)
+	case state == corrupt && !req.GetWhole():
+		response.Text = versionText(version + 1)
 	case known > 0 && !req.GetWhole():
-		response.Delta, _ = delta.Make(textOf(known), textOf(version))
+		response.Delta, _ = delta.Make(versionText(known), versionText(version))
 	default:
-		response.Text = textOf(version)
+		response.Text = versionText(version)
 	}
 	return response
 }
 
-// watching is one entry host's watch over a group.
-type watching struct {
+// fixture is one entry host's watch of a group.
+type fixture struct {
 	group  *group
 	table  *rules.Table
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-func watch(ctx context.Context, g *group) *watching {
+func startWatch(ctx context.Context, g *group) *fixture {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watching{group: g, table: rules.NewTable(), cancel: cancel, done: make(chan struct{})}
-	one := control.NewWatch(func() []string { return []string{"c0", "c1", "c2"} }, &http.Client{Transport: g}, w.table,
+	w := &fixture{group: g, table: rules.NewTable(), cancel: cancel, done: make(chan struct{})}
+	watch := control.NewWatch(func() []string { return []string{"c0", "c1", "c2"} }, &http.Client{Transport: g}, w.table,
 		func() *wire.HostReport { return &wire.HostReport{} }, func([]*wire.GossipHost) {}, hclog.NewNullLogger())
 	go func() {
 		defer close(w.done)
-		one.Run(ctx)
+		watch.Run(ctx)
 	}()
 	return w
 }
 
-func (w *watching) stop() {
+func (w *fixture) stop() {
 	w.cancel()
 	<-w.done
 }
 
-func TestNoTrafficBeforeAQuorumConfirmed(t *testing.T) {
+func TestNoTrafficBeforeAQuorumConfirms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup()
 		g.set(func() { g.newest = 3 })
-		g.set(func() { g.newest = 4; g.hosts[0].state, g.hosts[1].state, g.hosts[2].state = cutOff, down, silent })
-		w := watch(t.Context(), g)
+		g.set(func() {
+			g.newest = 4
+			g.hosts[0].state, g.hosts[1].state, g.hosts[2].state = noQuorum, down, unreachable
+		})
+		w := startWatch(t.Context(), g)
 		defer w.stop()
 		time.Sleep(time.Minute)
 		must.Eq(t, 3, w.table.Current().Number())
@@ -199,15 +203,15 @@
 	})
 }
 
-func TestHostCutOffKeepsItsVersionAndKnowsItsAge(t *testing.T) {
+func TestPartitionedHostKeepsItsVersionAndItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup()
 		g.set(func() { g.newest = 1 })
-		w := watch(t.Context(), g)
+		w := startWatch(t.Context(), g)
 		defer w.stop()
 		time.Sleep(10 * time.Second)
 		must.LessEq(t, 4*time.Second, time.Since(w.table.ConfirmedAt()))
-		g.set(func() { g.hosts[0].state, g.hosts[1].state, g.hosts[2].state = cutOff, down, silent })
+		g.set(func() { g.hosts[0].state, g.hosts[1].state, g.hosts[2].state = noQuorum, down, unreachable })
 		time.Sleep(time.Hour)
 		must.True(t, w.table.Learned())
 		must.Between(t, time.Hour-time.Second, time.Since(w.table.ConfirmedAt()), time.Hour+5*time.Second)
@@ -232,10 +236,10 @@
 	}), 1, 30).Draw(t, "steps")
 }
 
-// play runs a schedule and reports the first broken promise.
-func play(ctx context.Context, steps []step) error {
+// runSchedule runs a schedule and returns the first violated invariant.
+func runSchedule(ctx context.Context, steps []step) error {
 	g := newGroup()
-	w := watch(ctx, g)
+	w := startWatch(ctx, g)
 	defer w.stop()
 	highest := uint64(0)
 	for _, s := range steps {
@@ -248,10 +252,10 @@
 		time.Sleep(s.wait)
 		number := w.table.Current().Number()
 		if number < highest {
-			return errors.Errorf("version went back from %d to %d", highest, number)
+			return errors.Errorf("version decreased from %d to %d", highest, number)
 		}
 		highest = number
-		if text := w.table.Current().Text(); number > 0 && text != textOf(int(number)) {
+		if text := w.table.Current().Text(); number > 0 && text != versionText(int(number)) {
 			return errors.Errorf("version %d has another version's text: %s", number, text)
 		}
 	}
@@ -263,11 +267,11 @@
 	return nil
 }
 
-func TestNewestVersionComesFromAnyHostThatHasIt(t *testing.T) {
+func TestNewestVersionIsTakenFromAnyHostThatHasIt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawSteps(rt)
 		var err error
-		synctest.Test(t, func(t *testing.T) { err = play(t.Context(), steps) })
+		synctest.Test(t, func(t *testing.T) { err = runSchedule(t.Context(), steps) })
 		must.NoError(rt, err)
 	})
 }
--- a/entry/decision/log.go
+++ b/entry/decision/log.go
@@ -16,12 +16,12 @@
 
 // Log writes decisions from a queue.
 type Log struct {
-	logger  hclog.Logger
-	queue   chan *Decision
-	recent  *recent
-	tally   tally
-	dropped atomic.Uint64
-	told    uint64 // dropped lines that were reported
+	logger        hclog.Logger
+	queue         chan *Decision
+	recent        *recent
+	counters      outcomeCounters
+	dropped       atomic.Uint64
+	reportedDrops uint64 // dropped lines that were reported
 }
 
 // NewLog returns a log that writes through the logger.
@@ -32,7 +32,7 @@
 // Write queues a line, or counts it as dropped if the queue is full. The
 // decision must not be changed afterwards.
 func (l *Log) Write(d *Decision) {
-	l.tally.count(d)
+	l.counters.count(d)
 	select {
 	case l.queue <- d:
 	default:
@@ -53,7 +53,7 @@
 	for {
 		select {
 		case d := <-l.queue:
-			l.print(d)
+			l.emit(d)
 		case <-ticker.C:
 			l.reportDropped()
 		case <-ctx.Done():
@@ -67,7 +67,7 @@
 	for {
 		select {
 		case d := <-l.queue:
-			l.print(d)
+			l.emit(d)
 		default:
 			l.reportDropped()
 			return
@@ -77,14 +77,14 @@
 
 func (l *Log) reportDropped() {
 	dropped := l.dropped.Load()
-	if dropped == l.told {
+	if dropped == l.reportedDrops {
 		return
 	}
-	l.logger.Warn("decision lines dropped", "count", dropped-l.told, "total", dropped)
-	l.told = dropped
+	l.logger.Warn("decision lines dropped", "count", dropped-l.reportedDrops, "total", dropped)
+	l.reportedDrops = dropped
 }
 
-func (l *Log) print(d *Decision) {
+func (l *Log) emit(d *Decision) {
 	l.recent.add(d)
 	l.logger.Info(string(d.Kind), "decision", d)
 }
--- a/entry/decision/log_test.go
+++ b/entry/decision/log_test.go
@@ -12,12 +12,12 @@
 	"github.com/snipebeam/snipebeam/world/logging"
 )
 
-const moreThanTheQueue = 10_000
+const lineCount = 10_000
 
 func TestEveryLineIsWrittenOrCountedAsDropped(t *testing.T) {
 	var out bytes.Buffer
 	log := decision.NewLog(logging.New("test", "info", &out))
-	for n := range moreThanTheQueue {
+	for n := range lineCount {
 		log.Write(&decision.Decision{ID: fmt.Sprint(n), Kind: decision.Route, Service: "catalogue"})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -36,7 +36,7 @@
 	}
 	must.Positive(t, written)
 	must.Positive(t, told)
-	must.Eq(t, moreThanTheQueue, written+told)
+	must.Eq(t, lineCount, written+told)
 	must.Eq(t, uint64(told), log.Dropped())
 }
 
--- a/entry/discovery/address.go
+++ b/entry/discovery/address.go
@@ -29,33 +29,33 @@
 	Addresses  []Address `json:"addresses"`
 }
 
-func (p *platform) addresses(c *gin.Context) {
+func (p *handler) addresses(c *gin.Context) {
 	service := c.Param("service")
-	inForce := p.parts.Table.Current()
-	if !p.parts.Table.Learned() {
-		refuse(c, NotReady, "this host has not learned the rules in force yet")
+	inForce := p.cfg.Table.Current()
+	if !p.cfg.Table.Learned() {
+		abort(c, NotReady, "this host has not learned the rules in force yet")
 		return
 	}
 	set := inForce.Set()
 	if !set.Knows(service) {
-		refuse(c, UnknownService, "no rule names the service "+service)
+		abort(c, UnknownService, "no rule names the service "+service)
 		return
 	}
 	answer := AddressResponse{Service: service, TTLSeconds: AddressTTL.Seconds(), Addresses: []Address{}}
 	var names []string
-	plan := placement.Plan{Spread: set.Terms(service).Spread(), HostRate: p.parts.HostRate, Rate: p.parts.Rate(service)}
-	chosen := placement.Choose(p.parts.Entries(), service, c.Query("zone"), plan)
+	plan := placement.Plan{Spread: set.Terms(service).Spread(), HostRate: p.cfg.HostRate, Rate: p.cfg.Rate(service)}
+	chosen := placement.Choose(p.cfg.Entries(), service, c.Query("zone"), plan)
 	for n, host := range chosen.Hosts() {
 		spare := n >= len(chosen.Active())
 		answer.Addresses = append(answer.Addresses, Address{Host: host.GetName(), Address: host.GetCallersAddress(), Zone: host.GetZone(), Spare: spare})
 		names = append(names, host.GetName())
 	}
-	p.parts.Decisions.Write(&decision.Decision{
-		ID: uuid.NewString(), Kind: decision.Placement, At: time.Now(), Host: p.parts.Host, Service: service,
+	p.cfg.Decisions.Write(&decision.Decision{
+		ID: uuid.NewString(), Kind: decision.Placement, At: time.Now(), Host: p.cfg.Host, Service: service,
 		Caller: c.ClientIP(), Hosts: names, Reason: "rendezvous",
 	})
 	if len(names) == 0 {
-		refuse(c, NoEntryHost, "no entry host is ready to take requests for "+service)
+		abort(c, NoEntryHost, "no entry host is ready to take requests for "+service)
 		return
 	}
 	c.JSON(http.StatusOK, answer)
--- a/entry/discovery/announcement.go
+++ b/entry/discovery/announcement.go
@@ -16,11 +16,11 @@
 const (
 	maxAnnouncementBytes = 16 << 10
 	maxSlots             = 10_000
-	maxMaxLinks          = 1_000_000
+	maxLinkLimit         = 1_000_000
 )
 
-// name is what an instance, service or zone may be called.
-var name = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]{0,126}[A-Za-z0-9])?$`)
+// namePattern is what an instance, service or zone may be called.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]{0,126}[A-Za-z0-9])?$`)
 
 // Announcement is what an instance says of itself.
 type Announcement struct {
@@ -54,23 +54,23 @@
 	Alternates(id string) []string
 }
 
-func (a *Announcement) check() error {
+func (a *Announcement) validate() error {
 	switch {
-	case !name.MatchString(a.Service):
+	case !namePattern.MatchString(a.Service):
 		return errors.Errorf("service %q is not a name", a.Service)
-	case a.Zone != "" && !name.MatchString(a.Zone):
+	case a.Zone != "" && !namePattern.MatchString(a.Zone):
 		return errors.Errorf("zone %q is not a name", a.Zone)
 	case a.Slots > maxSlots:
 		return errors.Errorf("%d slots are over the most, %d", a.Slots, maxSlots)
-	case a.MaxLinks > maxMaxLinks:
-		return errors.Errorf("%d links are over the most, %d", a.MaxLinks, maxMaxLinks)
+	case a.MaxLinks > maxLinkLimit:
+		return errors.Errorf("%d links are over the most, %d", a.MaxLinks, maxLinkLimit)
 	}
-	return checkAddress(a.Address)
+	return validateAddress(a.Address)
 }
 
-// checkAddress takes an IP address with a port: a name would be looked up on
+// validateAddress takes an IP address with a port: a name would be looked up on
 // the path of each request.
-func checkAddress(address string) error {
+func validateAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return errors.Errorf("address %q is not HOST:PORT", address)
@@ -83,59 +83,59 @@
 	return nil
 }
 
-func (p *platform) keyed(c *gin.Context) {
-	if !p.parts.Keys.Accepts(c.Request) {
-		refuse(c, KeyRefused, "key missing or not accepted")
+func (p *handler) requireKey(c *gin.Context) {
+	if !p.cfg.Keys.Accepts(c.Request) {
+		abort(c, KeyRefused, "key missing or not accepted")
 	}
 }
 
-// named refuses ids that are not names.
-func (p *platform) named(c *gin.Context) {
-	if !name.MatchString(c.Param("id")) {
-		refuse(c, Malformed, "the id of an instance holds up to 128 letters, digits, dots, hyphens and underscores")
+// requireValidID refuses ids that are not names.
+func (p *handler) requireValidID(c *gin.Context) {
+	if !namePattern.MatchString(c.Param("id")) {
+		abort(c, Malformed, "the id of an instance holds up to 128 letters, digits, dots, hyphens and underscores")
 	}
 }
 
-func (p *platform) announce(c *gin.Context) {
+func (p *handler) announce(c *gin.Context) {
 	c.Request.Body = http.MaxBytesReader(c.Writer, c.Request.Body, maxAnnouncementBytes)
 	var a Announcement
 	if err := c.ShouldBindJSON(&a); err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			refuse(c, TooLarge, "an announcement has at most "+strconv.Itoa(maxAnnouncementBytes)+" bytes")
+			abort(c, TooLarge, "an announcement has at most "+strconv.Itoa(maxAnnouncementBytes)+" bytes")
 			return
 		}
-		refuse(c, Malformed, "the announcement is not the JSON that is wanted: "+err.Error())
+		abort(c, Malformed, "the announcement is not the JSON that is wanted: "+err.Error())
 		return
 	}
-	if err := a.check(); err != nil {
-		refuse(c, Malformed, err.Error())
+	if err := a.validate(); err != nil {
+		abort(c, Malformed, err.Error())
 		return
 	}
-	p.answer(c, p.parts.Members.Announce(&wire.Instance{
+	p.respond(c, p.cfg.Members.Announce(&wire.Instance{
 		Id: c.Param("id"), Service: a.Service, Address: a.Address, Zone: a.Zone, Slots: a.Slots, MaxLinks: a.MaxLinks,
 		Cold: a.Cold, Draining: a.Draining, Incarnation: a.Incarnation, Sequence: a.Sequence,
 	}))
 }
 
-func (p *platform) leave(c *gin.Context) {
+func (p *handler) withdraw(c *gin.Context) {
 	incarnation, err := strconv.ParseUint(c.DefaultQuery("incarnation", "0"), 10, 64)
 	if err != nil {
-		refuse(c, Malformed, "incarnation is not a number")
+		abort(c, Malformed, "incarnation is not a number")
 		return
 	}
-	p.answer(c, p.parts.Members.Withdraw(c.Param("id"), incarnation))
+	p.respond(c, p.cfg.Members.Withdraw(c.Param("id"), incarnation))
 }
 
-func (p *platform) answer(c *gin.Context, err error) {
+func (p *handler) respond(c *gin.Context, err error) {
 	switch {
 	case err == nil:
 		c.JSON(http.StatusOK, Lease{
-			LeaseSeconds: gossip.LeaseTime.Seconds(), HeardBy: p.parts.Host, Alternates: p.parts.Members.Alternates(c.Param("id")),
+			LeaseSeconds: gossip.LeaseTime.Seconds(), HeardBy: p.cfg.Host, Alternates: p.cfg.Members.Alternates(c.Param("id")),
 		})
 	case errors.Is(err, gossip.ErrOldIncarnation), errors.Is(err, gossip.ErrLeft):
-		refuse(c, OldIncarnation, err.Error())
+		abort(c, OldIncarnation, err.Error())
 	default:
-		refuse(c, Malformed, err.Error())
+		abort(c, Malformed, err.Error())
 	}
 }
--- a/entry/discovery/discovery.go
+++ b/entry/discovery/discovery.go
@@ -39,8 +39,8 @@
 	HostRate  float64                      // requests a second that one entry host takes of a service
 }
 
-type platform struct {
-	parts Config
+type handler struct {
+	cfg Config
 }
 
 // New returns the handler.
@@ -49,20 +49,20 @@
 	engine := gin.New()
 	engine.HandleMethodNotAllowed = true
 	engine.Use(gin.Recovery())
-	engine.NoRoute(func(c *gin.Context) { refuse(c, NotFound, "there is nothing at "+c.Request.URL.Path) })
-	engine.NoMethod(func(c *gin.Context) { refuse(c, WrongMethod, c.Request.Method+" is not for "+c.Request.URL.Path) })
-	p := &platform{parts: parts}
+	engine.NoRoute(func(c *gin.Context) { abort(c, NotFound, "there is nothing at "+c.Request.URL.Path) })
+	engine.NoMethod(func(c *gin.Context) { abort(c, WrongMethod, c.Request.Method+" is not for "+c.Request.URL.Path) })
+	p := &handler{cfg: parts}
 	engine.GET("/v1/addresses/:service", p.addresses)
-	engine.PUT("/v1/instances/:id", p.keyed, p.named, p.announce)
-	engine.DELETE("/v1/instances/:id", p.keyed, p.named, p.leave)
+	engine.PUT("/v1/instances/:id", p.requireKey, p.requireValidID, p.announce)
+	engine.DELETE("/v1/instances/:id", p.requireKey, p.requireValidID, p.withdraw)
 	engine.GET("/livez", func(c *gin.Context) { c.String(http.StatusOK, "live\n") })
 	engine.GET("/readyz", p.ready)
 	engine.GET("/metrics", func(c *gin.Context) { parts.Metrics(c.Writer) })
 	return engine
 }
 
-func (p *platform) ready(c *gin.Context) {
-	if !p.parts.Ready() {
+func (p *handler) ready(c *gin.Context) {
+	if !p.cfg.Ready() {
 		c.String(http.StatusServiceUnavailable, "not ready\n")
 		return
 	}
--- a/entry/discovery/discovery_test.go
+++ b/entry/discovery/discovery_test.go
@@ -22,7 +22,7 @@
 // fixture is a platform handler with what it works with.
 type fixture struct {
 	table   *rules.Table
-	members *members
+	members *fakeMembership
 	entries []*wire.HostReport
 	handler http.Handler
 }
@@ -37,10 +37,10 @@
 	return f
 }
 
-func (f *fixture) rules(t *testing.T) {
+func (f *fixture) applyRules(t *testing.T) {
 	_, err := f.table.Advance(&wire.Version{Number: 1}, "service a: spread 2 # w: y\nroute a # w: y")
 	must.NoError(t, err)
-	must.Eq(t, discovery.NotReady, refusal(t, f.call(http.MethodGet, "/v1/addresses/a", "")))
+	must.Eq(t, discovery.NotReady, refusalReason(t, f.call(http.MethodGet, "/v1/addresses/a", "")))
 	f.table.Confirm(1, time.Now())
 }
 
@@ -54,7 +54,7 @@
 	return w
 }
 
-func refusal(t *testing.T, w *httptest.ResponseRecorder) discovery.Reason {
+func refusalReason(t *testing.T, w *httptest.ResponseRecorder) discovery.Reason {
 	var p discovery.Problem
 	must.NoError(t, json.Unmarshal(w.Body.Bytes(), &p))
 	must.Eq(t, w.Code, p.Status)
@@ -64,11 +64,11 @@
 
 func TestAddressAnswers(t *testing.T) {
 	f := newFixture()
-	must.Eq(t, discovery.NotReady, refusal(t, f.call(http.MethodGet, "/v1/addresses/a", "")))
-	f.rules(t)
-	must.Eq(t, discovery.UnknownService, refusal(t, f.call(http.MethodGet, "/v1/addresses/b%00", "")))
+	must.Eq(t, discovery.NotReady, refusalReason(t, f.call(http.MethodGet, "/v1/addresses/a", "")))
+	f.applyRules(t)
+	must.Eq(t, discovery.UnknownService, refusalReason(t, f.call(http.MethodGet, "/v1/addresses/b%00", "")))
 	w := f.call(http.MethodGet, "/v1/addresses/a", "")
-	must.Eq(t, discovery.NoEntryHost, refusal(t, w))
+	must.Eq(t, discovery.NoEntryHost, refusalReason(t, w))
 	must.Eq(t, "1", w.Header().Get("Retry-After"))
 	for _, name := range []string{"e1", "e2", "e3"} {
 		f.entries = append(f.entries, &wire.HostReport{Name: name, Role: "entry", State: "ready", Zone: "z" + name[1:], CallersAddress: "127.0.0.1:720" + name[1:]})
@@ -101,20 +101,20 @@
 		"zone with a path": `{"service":"a","address":"127.0.0.1:9001","zone":"../x"}`,
 	}
 	for what, body := range cases {
-		must.Eq(t, discovery.Malformed, refusal(t, f.call(http.MethodPut, "/v1/instances/a-2", body)), must.Sprint(what))
+		must.Eq(t, discovery.Malformed, refusalReason(t, f.call(http.MethodPut, "/v1/instances/a-2", body)), must.Sprint(what))
 	}
-	must.Eq(t, discovery.Malformed, refusal(t, f.call(http.MethodPut, "/v1/instances/a%20b", good)))
-	must.Eq(t, discovery.TooLarge, refusal(t, f.call(http.MethodPut, "/v1/instances/a-2", `{"service":"`+strings.Repeat("a", 20<<10)+`"}`)))
-	must.Eq(t, discovery.WrongMethod, refusal(t, f.call(http.MethodPost, "/v1/instances/a-2", good)))
-	must.Eq(t, discovery.NotFound, refusal(t, f.call(http.MethodGet, "/v2", "")))
+	must.Eq(t, discovery.Malformed, refusalReason(t, f.call(http.MethodPut, "/v1/instances/a%20b", good)))
+	must.Eq(t, discovery.TooLarge, refusalReason(t, f.call(http.MethodPut, "/v1/instances/a-2", `{"service":"`+strings.Repeat("a", 20<<10)+`"}`)))
+	must.Eq(t, discovery.WrongMethod, refusalReason(t, f.call(http.MethodPost, "/v1/instances/a-2", good)))
+	must.Eq(t, discovery.NotFound, refusalReason(t, f.call(http.MethodGet, "/v2", "")))
 	must.Len(t, 1, f.members.core.Instances())
 }
 
 func TestAnnouncementsNeedAKeyOnceThereAreKeys(t *testing.T) {
 	f := newFixture("new", "old")
 	body := `{"service":"a","address":"127.0.0.1:9001"}`
-	must.Eq(t, discovery.KeyRefused, refusal(t, f.call(http.MethodPut, "/v1/instances/a-1", body)))
-	must.Eq(t, discovery.KeyRefused, refusal(t, f.call(http.MethodDelete, "/v1/instances/a-1", "", "Authorization", "Bearer wrong")))
+	must.Eq(t, discovery.KeyRefused, refusalReason(t, f.call(http.MethodPut, "/v1/instances/a-1", body)))
+	must.Eq(t, discovery.KeyRefused, refusalReason(t, f.call(http.MethodDelete, "/v1/instances/a-1", "", "Authorization", "Bearer wrong")))
 	for _, accepted := range []string{"new", "old"} {
 		must.Eq(t, http.StatusOK, f.call(http.MethodPut, "/v1/instances/a-1", body, "Authorization", "Bearer "+accepted).Code)
 	}
--- a/entry/discovery/problem.go
+++ b/entry/discovery/problem.go
@@ -46,8 +46,8 @@
 	Reason Reason `json:"reason"`
 }
 
-// refuse ends a call with a problem.
-func refuse(c *gin.Context, reason Reason, detail string) {
+// abort ends a call with a problem.
+func abort(c *gin.Context, reason Reason, detail string) {
 	status := statusOf[reason]
 	if status == http.StatusServiceUnavailable {
 		c.Header("Retry-After", retryAfterSeconds)
--- a/entry/dns/dns.go
+++ b/entry/dns/dns.go
@@ -33,16 +33,16 @@
 
 // Server answers over UDP and TCP.
 type Server struct {
-	domain   string
-	lifetime time.Duration
-	hosts    Directory
-	udp      *mdns.Server
-	tcp      *mdns.Server
+	domain    string
+	ttl       time.Duration
+	directory Directory
+	udp       *mdns.Server
+	tcp       *mdns.Server
 }
 
 // New returns a server for names below the domain, written as "snipebeam.".
 func New(domain string, lifetime time.Duration, hosts Directory) *Server {
-	return &Server{domain: mdns.Fqdn(domain), lifetime: lifetime, hosts: hosts}
+	return &Server{domain: mdns.Fqdn(domain), ttl: lifetime, directory: hosts}
 }
 
 // Start listens on the address and serves until Stop.
@@ -58,13 +58,13 @@
 	}
 	s.udp = &mdns.Server{PacketConn: packets, Handler: s}
 	s.tcp = &mdns.Server{Listener: listener, Handler: s}
-	activate(s.udp)
-	activate(s.tcp)
+	serve(s.udp)
+	serve(s.tcp)
 	return packets.LocalAddr(), nil
 }
 
-// activate returns once the server serves, so that Stop can end it.
-func activate(server *mdns.Server) {
+// serve returns once the server serves, so that Stop can end it.
+func serve(server *mdns.Server) {
 	started := make(chan struct{})
 	server.NotifyStartedFunc = func() { close(started) }
 	go func() { _ = server.ActivateAndServe() }()
@@ -102,14 +102,14 @@
 		s.answer(reply, req.Question[0])
 	}
 	if _, overUDP := w.RemoteAddr().(*net.UDPAddr); overUDP {
-		reply.Truncate(udpSize(req))
+		reply.Truncate(maxUDPSize(req))
 	}
 	// A lost reply is asked for again.
 	_ = w.WriteMsg(reply)
 }
 
-// udpSize returns how large a reply the asker takes over UDP.
-func udpSize(req *mdns.Msg) int {
+// maxUDPSize returns how large a reply the asker takes over UDP.
+func maxUDPSize(req *mdns.Msg) int {
 	if opt := req.IsEdns0(); opt != nil {
 		return max(mdns.MinMsgSize, int(opt.UDPSize()))
 	}
@@ -117,8 +117,8 @@
 }
 
 const (
-	hostsLabel  = ".hosts"      // NAME.hosts.DOMAIN is an entry host
-	httpService = "_http._tcp." // _http._tcp.SERVICE.DOMAIN (RFC 2782)
+	hostsLabel = ".hosts"      // NAME.hosts.DOMAIN is an entry host
+	srvPrefix  = "_http._tcp." // _http._tcp.SERVICE.DOMAIN (RFC 2782)
 )
 
 func (s *Server) answer(reply *mdns.Msg, q mdns.Question) {
@@ -126,51 +126,51 @@
 	switch {
 	case !ok || q.Qclass != mdns.ClassINET:
 		reply.Rcode = mdns.RcodeRefused
-	case !s.hosts.Ready():
+	case !s.directory.Ready():
 		reply.Rcode = mdns.RcodeServerFailure
 	default:
-		s.find(reply, q, strings.TrimPrefix(name, httpService))
+		s.resolve(reply, q, strings.TrimPrefix(name, srvPrefix))
 	}
 }
 
-func (s *Server) find(reply *mdns.Msg, q mdns.Question, name string) {
+func (s *Server) resolve(reply *mdns.Msg, q mdns.Question, name string) {
 	if hostName, found := strings.CutSuffix(name, hostsLabel); found {
-		s.findHost(reply, q, hostName)
+		s.resolveHost(reply, q, hostName)
 		return
 	}
-	chosen, known := s.hosts.Service(name)
+	chosen, known := s.directory.Service(name)
 	if !known {
 		reply.Rcode = mdns.RcodeNameError
 		return
 	}
 	for _, host := range chosen.Active() {
-		s.add(reply, q, host, 0)
+		s.addRecord(reply, q, host, 0)
 	}
 	if q.Qtype != mdns.TypeSRV {
 		// Address records have no priority: a spare would be used like the others.
 		return
 	}
 	for n, host := range chosen.Spares() {
-		s.add(reply, q, host, uint16(n+1))
+		s.addRecord(reply, q, host, uint16(n+1))
 	}
 }
 
-func (s *Server) findHost(reply *mdns.Msg, q mdns.Question, name string) {
-	host := s.hosts.Host(name)
+func (s *Server) resolveHost(reply *mdns.Msg, q mdns.Question, name string) {
+	host := s.directory.Host(name)
 	if host == nil {
 		reply.Rcode = mdns.RcodeNameError
 		return
 	}
-	s.add(reply, q, host, 0)
+	s.addRecord(reply, q, host, 0)
 }
 
-func (s *Server) add(reply *mdns.Msg, q mdns.Question, host *wire.HostReport, priority uint16) {
+func (s *Server) addRecord(reply *mdns.Msg, q mdns.Question, host *wire.HostReport, priority uint16) {
 	text, portText, err := net.SplitHostPort(host.GetCallersAddress())
 	if err != nil {
 		return
 	}
 	ip := net.ParseIP(text)
-	head := mdns.RR_Header{Name: q.Name, Rrtype: q.Qtype, Class: mdns.ClassINET, Ttl: uint32(s.lifetime.Seconds())}
+	head := mdns.RR_Header{Name: q.Name, Rrtype: q.Qtype, Class: mdns.ClassINET, Ttl: uint32(s.ttl.Seconds())}
 	switch q.Qtype {
 	case mdns.TypeA, mdns.TypeAAAA:
 		if record := addressRecord(head, ip); record != nil {
@@ -183,17 +183,17 @@
 		}
 		target := mdns.Fqdn(host.GetName() + hostsLabel + "." + s.domain)
 		reply.Answer = append(reply.Answer, &mdns.SRV{Hdr: head, Priority: priority, Weight: 1, Port: uint16(port), Target: target})
-		s.addTarget(reply, target, ip)
+		s.addTargetAddress(reply, target, ip)
 	default:
 	}
 }
 
-func (s *Server) addTarget(reply *mdns.Msg, target string, ip net.IP) {
+func (s *Server) addTargetAddress(reply *mdns.Msg, target string, ip net.IP) {
 	kind := mdns.TypeAAAA
 	if ip.To4() != nil {
 		kind = mdns.TypeA
 	}
-	head := mdns.RR_Header{Name: target, Rrtype: kind, Class: mdns.ClassINET, Ttl: uint32(s.lifetime.Seconds())}
+	head := mdns.RR_Header{Name: target, Rrtype: kind, Class: mdns.ClassINET, Ttl: uint32(s.ttl.Seconds())}
 	if record := addressRecord(head, ip); record != nil {
 		reply.Extra = append(reply.Extra, record)
 	}
--- a/entry/dns/dns_test.go
+++ b/entry/dns/dns_test.go
@@ -46,22 +46,22 @@
 	return all
 }
 
-// writer keeps the reply to a query that came over UDP or TCP.
-type writer struct {
+// responseRecorder keeps the reply to a query that came over UDP or TCP.
+type responseRecorder struct {
 	mdns.ResponseWriter
 	remote net.Addr
 	reply  *mdns.Msg
 }
 
-func (w *writer) RemoteAddr() net.Addr { return w.remote }
+func (w *responseRecorder) RemoteAddr() net.Addr { return w.remote }
 
-func (w *writer) WriteMsg(m *mdns.Msg) error {
+func (w *responseRecorder) WriteMsg(m *mdns.Msg) error {
 	w.reply = m
 	return nil
 }
 
-func ask(d dns.Directory, req *mdns.Msg) *mdns.Msg {
-	w := &writer{remote: &net.UDPAddr{}}
+func exchange(d dns.Directory, req *mdns.Msg) *mdns.Msg {
+	w := &responseRecorder{remote: &net.UDPAddr{}}
 	dns.New("snipebeam", 5*time.Second, d).ServeDNS(w, req)
 	return w.reply
 }
@@ -70,24 +70,24 @@
 
 func TestAnswers(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: append(entries(2), &wire.HostReport{Name: "six", CallersAddress: "[fd00::1]:7200"})}
-	reply := ask(d, query("A.snipebeam.", mdns.TypeA))
+	reply := exchange(d, query("A.snipebeam.", mdns.TypeA))
 	must.Eq(t, mdns.RcodeSuccess, reply.Rcode)
 	must.Len(t, 2, reply.Answer)
 	must.Eq(t, 5, reply.Answer[0].Header().Ttl)
-	must.Len(t, 1, ask(d, query("a.snipebeam.", mdns.TypeAAAA)).Answer)
-	reply = ask(d, query("_http._tcp.a.snipebeam.", mdns.TypeSRV))
+	must.Len(t, 1, exchange(d, query("a.snipebeam.", mdns.TypeAAAA)).Answer)
+	reply = exchange(d, query("_http._tcp.a.snipebeam.", mdns.TypeSRV))
 	must.Len(t, 3, reply.Answer)
 	must.Len(t, 3, reply.Extra)
 	target := reply.Answer[0].(*mdns.SRV).Target
 	must.Eq(t, "e0.hosts.snipebeam.", target)
-	must.Len(t, 1, ask(d, query(target, mdns.TypeA)).Answer)
-	must.SliceEmpty(t, ask(d, query("a.snipebeam.", mdns.TypeTXT)).Answer)
+	must.Len(t, 1, exchange(d, query(target, mdns.TypeA)).Answer)
+	must.SliceEmpty(t, exchange(d, query("a.snipebeam.", mdns.TypeTXT)).Answer)
 }
 
 func TestSparesAreToldWithALowerPriorityOnly(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: entries(3), spares: 2}
-	must.Len(t, 1, ask(d, query("a.snipebeam.", mdns.TypeA)).Answer)
-	reply := ask(d, query("a.snipebeam.", mdns.TypeSRV))
+	must.Len(t, 1, exchange(d, query("a.snipebeam.", mdns.TypeA)).Answer)
+	reply := exchange(d, query("a.snipebeam.", mdns.TypeSRV))
 	must.Len(t, 3, reply.Answer)
 	for n, record := range reply.Answer {
 		must.Eq(t, uint16(n), record.(*mdns.SRV).Priority)
@@ -96,27 +96,27 @@
 
 func TestBadQueries(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: entries(1)}
-	must.Eq(t, mdns.RcodeNameError, ask(d, query("b.snipebeam.", mdns.TypeA)).Rcode)
-	must.Eq(t, mdns.RcodeNameError, ask(d, query("e9.hosts.snipebeam.", mdns.TypeA)).Rcode)
-	must.Eq(t, mdns.RcodeRefused, ask(d, query("example.org.", mdns.TypeA)).Rcode)
-	must.Eq(t, mdns.RcodeRefused, ask(d, query("snipebeam.", mdns.TypeA)).Rcode)
-	must.Eq(t, mdns.RcodeFormatError, ask(d, new(mdns.Msg)).Rcode)
+	must.Eq(t, mdns.RcodeNameError, exchange(d, query("b.snipebeam.", mdns.TypeA)).Rcode)
+	must.Eq(t, mdns.RcodeNameError, exchange(d, query("e9.hosts.snipebeam.", mdns.TypeA)).Rcode)
+	must.Eq(t, mdns.RcodeRefused, exchange(d, query("example.org.", mdns.TypeA)).Rcode)
+	must.Eq(t, mdns.RcodeRefused, exchange(d, query("snipebeam.", mdns.TypeA)).Rcode)
+	must.Eq(t, mdns.RcodeFormatError, exchange(d, new(mdns.Msg)).Rcode)
 	update := query("a.snipebeam.", mdns.TypeA)
 	update.Opcode = mdns.OpcodeUpdate
-	must.Eq(t, mdns.RcodeNotImplemented, ask(d, update).Rcode)
+	must.Eq(t, mdns.RcodeNotImplemented, exchange(d, update).Rcode)
 	chaos := query("a.snipebeam.", mdns.TypeA)
 	chaos.Question[0].Qclass = mdns.ClassCHAOS
-	must.Eq(t, mdns.RcodeRefused, ask(d, chaos).Rcode)
+	must.Eq(t, mdns.RcodeRefused, exchange(d, chaos).Rcode)
 	d.ready = false
-	must.Eq(t, mdns.RcodeServerFailure, ask(d, query("a.snipebeam.", mdns.TypeA)).Rcode)
+	must.Eq(t, mdns.RcodeServerFailure, exchange(d, query("a.snipebeam.", mdns.TypeA)).Rcode)
 }
 
 func TestLongAnswersAreCutOverUDPOnly(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: entries(500)}
-	reply := ask(d, query("a.snipebeam.", mdns.TypeA))
+	reply := exchange(d, query("a.snipebeam.", mdns.TypeA))
 	must.True(t, reply.Truncated)
 	must.LessEq(t, mdns.MinMsgSize, reply.Len())
-	w := &writer{remote: &net.TCPAddr{}}
+	w := &responseRecorder{remote: &net.TCPAddr{}}
 	dns.New("snipebeam", 5*time.Second, d).ServeDNS(w, query("a.snipebeam.", mdns.TypeA))
 	must.Len(t, 500, w.reply.Answer)
 }
--- a/entry/framing/framing.go
+++ b/entry/framing/framing.go
@@ -30,7 +30,7 @@
 		}
 		return context.WithValue(ctx, connKey{}, c)
 	}
-	return &watchedListener{Listener: listener}
+	return &scanningListener{Listener: listener}
 }
 
 type connKey struct{}
@@ -52,10 +52,10 @@
 	})
 }
 
-type watchedListener struct{ net.Listener }
+type scanningListener struct{ net.Listener }
 
 // Accept returns a connection whose bytes are watched.
-func (l *watchedListener) Accept() (net.Conn, error) {
+func (l *scanningListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/entry/framing/framing_test.go
+++ b/entry/framing/framing_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-// start serves an echo of bodies behind the guard and returns its address.
-func start(t *testing.T) string {
+// startServer serves an echo of bodies behind the guard and returns its address.
+func startServer(t *testing.T) string {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write([]byte("echo " + string(body)))
@@ -60,7 +60,7 @@
 }
 
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
-	address := start(t)
+	address := startServer(t)
 	cases := map[string]string{
 		"length and chunks":   "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nX",
 		"chunks and length":   "POST / HTTP/1.1\r\nHost: a\r\nTRANSFER-ENCODING: chunked\r\ncontent-length: 6\r\n\r\n0\r\n\r\nX",
@@ -88,7 +88,7 @@
 }
 
 func TestARefusalIsTyped(t *testing.T) {
-	statuses, bodies := exchange(start(t), 1, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+	statuses, bodies := exchange(startServer(t), 1, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	must.Eq(t, []int{http.StatusBadRequest}, statuses)
 	must.StrContains(t, bodies[0], `"reason":"malformed"`)
 	must.StrContains(t, bodies[0], "both Content-Length and Transfer-Encoding")
@@ -97,7 +97,7 @@
 // A connection may carry any mix of whole requests, cut anywhere on the way;
 // what their bodies hold is never taken for a head.
 func TestWholeRequestsPassHoweverTheyAreCut(t *testing.T) {
-	address := start(t)
+	address := startServer(t)
 	request := rapid.Custom(func(t *rapid.T) string {
 		body := rapid.SampledFrom([]string{"", "x", "a\nb", "GET / HTTP/1.1\nTransfer-Encoding: x\n\n", strings.Repeat("y\n", 40)}).Draw(t, "body")
 		switch rapid.IntRange(0, 2).Draw(t, "kind") {
@@ -106,12 +106,12 @@
 		case 1:
 			return "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 		default:
-			return "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(body)
+			return "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body)
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		requests := rapid.SliceOfN(request, 1, 5).Draw(t, "requests")
-		statuses, _ := exchange(address, len(requests), cut(t, strings.Join(requests, ""))...)
+		statuses, _ := exchange(address, len(requests), splitAnywhere(t, strings.Join(requests, ""))...)
 		must.Eq(t, len(requests), len(statuses))
 		for _, status := range statuses {
 			must.Eq(t, http.StatusOK, status)
@@ -119,7 +119,7 @@
 	})
 }
 
-func cut(t *rapid.T, all string) []string {
+func splitAnywhere(t *rapid.T, all string) []string {
 	var parts []string
 	for len(all) > 0 {
 		n := rapid.IntRange(1, len(all)).Draw(t, "cut")
@@ -129,7 +129,7 @@
 	return parts
 }
 
-func chunks(body string) string {
+func chunked(body string) string {
 	if body == "" {
 		return "0\r\n\r\n"
 	}
--- a/entry/framing/scanner.go
+++ b/entry/framing/scanner.go
@@ -30,9 +30,9 @@
 	return c.scanner.fault
 }
 
-// maxLine bounds how much of a header line is kept. Longer names and lengths
+// maxLinePrefix bounds how much of a header line is kept. Longer names and lengths
 // are none of those that are looked for.
-const maxLine = 64
+const maxLinePrefix = 64
 
 // state is what the next byte belongs to.
 type state int
@@ -41,124 +41,124 @@
 	inHead    state = iota
 	inChunk         // the line before a chunk's data, or its end
 	inTrailer       // the lines after the last chunk
-	lost            // where the next head begins is not known
+	desynced        // where the next head begins is not known
 )
 
 // scanner follows the requests on one connection and checks their heads.
 type scanner struct {
-	state   state
-	skip    int64  // bytes of body or chunk that come before the next line
-	line    []byte // start of the current line
-	length  int    // of the current line so far
-	lines   int    // of the current head, before the current line
-	last    byte
-	lengths []string // values of Content-Length
-	codings int      // header lines of Transfer-Encoding
-	fault   string   // first fault of the connection
+	state             state
+	skip              int64  // bytes of body or chunk that come before the next line
+	linePrefix        []byte // start of the current line
+	lineLength        int    // of the current line so far
+	headLines         int    // of the current head, before the current line
+	prev              byte
+	contentLengths    []string // values of Content-Length
+	transferEncodings int      // header lines of Transfer-Encoding
+	fault             string   // first fault of the connection
 }
 
 func (s *scanner) feed(p []byte) {
-	for len(p) > 0 && s.state != lost && s.fault == "" {
+	for len(p) > 0 && s.state != desynced && s.fault == "" {
 		if s.skip > 0 {
 			n := min(s.skip, int64(len(p)))
 			s.skip -= n
 			p = p[n:]
 			continue
 		}
-		s.take(p[0])
+		s.scanByte(p[0])
 		p = p[1:]
 	}
 }
 
-func (s *scanner) take(b byte) {
+func (s *scanner) scanByte(b byte) {
 	switch {
-	case b == '\n' && s.last != '\r':
+	case b == '\n' && s.prev != '\r':
 		s.fault = "a line ends in a bare line feed"
 	case b == '\n':
 		s.endLine()
-	case s.last == '\r':
+	case s.prev == '\r':
 		s.fault = "a line holds a bare carriage return"
-	case s.state == inHead && s.length == 0 && s.lines > 0 && (b == ' ' || b == '\t'):
+	case s.state == inHead && s.lineLength == 0 && s.headLines > 0 && (b == ' ' || b == '\t'):
 		s.fault = "a header line is folded"
 	case b != '\r':
-		s.length++
-		if len(s.line) < maxLine {
-			s.line = append(s.line, b)
+		s.lineLength++
+		if len(s.linePrefix) < maxLinePrefix {
+			s.linePrefix = append(s.linePrefix, b)
 		}
 	}
-	s.last = b
+	s.prev = b
 }
 
 func (s *scanner) endLine() {
-	empty := s.length == 0
+	empty := s.lineLength == 0
 	switch {
 	case s.state == inChunk:
-		s.chunk()
+		s.endChunkLine()
 	case s.state == inTrailer && empty:
-		s.next()
-	case s.state == inHead && empty && s.lines > 0:
+		s.reset()
+	case s.state == inHead && empty && s.headLines > 0:
 		s.endHead()
 	case s.state == inHead && !empty:
-		s.header()
-		s.lines++
+		s.parseHeader()
+		s.headLines++
 	}
-	s.line, s.length = s.line[:0], 0
+	s.linePrefix, s.lineLength = s.linePrefix[:0], 0
 }
 
-func (s *scanner) header() {
-	name, value, found := strings.Cut(string(s.line), ":")
-	if s.lines == 0 || !found {
+func (s *scanner) parseHeader() {
+	name, value, found := strings.Cut(string(s.linePrefix), ":")
+	if s.headLines == 0 || !found {
 		return
 	}
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "content-length":
-		s.lengths = append(s.lengths, strings.TrimSpace(value))
+		s.contentLengths = append(s.contentLengths, strings.TrimSpace(value))
 	case "transfer-encoding":
-		s.codings++
+		s.transferEncodings++
 	}
 }
 
 func (s *scanner) endHead() {
 	switch {
-	case len(s.lengths) > 0 && s.codings > 0:
+	case len(s.contentLengths) > 0 && s.transferEncodings > 0:
 		s.fault = "the head has both Content-Length and Transfer-Encoding"
-	case len(s.lengths) > 1:
+	case len(s.contentLengths) > 1:
 		s.fault = "the head has several Content-Length"
-	case s.codings > 1:
+	case s.transferEncodings > 1:
 		s.fault = "the head has several Transfer-Encoding"
-	case s.codings == 1:
-		s.next()
+	case s.transferEncodings == 1:
+		s.reset()
 		s.state = inChunk
 	default:
-		s.body()
+		s.skipBody()
 	}
 }
 
-// body skips a body of a given length. The library refuses a length that is no
+// skipBody skips a body of a given length. The library refuses a length that is no
 // number, and closes the connection.
-func (s *scanner) body() {
+func (s *scanner) skipBody() {
 	n, err := int64(0), error(nil)
-	if len(s.lengths) == 1 {
-		n, err = strconv.ParseInt(s.lengths[0], 10, 64)
+	if len(s.contentLengths) == 1 {
+		n, err = strconv.ParseInt(s.contentLengths[0], 10, 64)
 	}
-	s.next()
+	s.reset()
 	s.skip = n
 	if err != nil || n < 0 {
-		s.state, s.skip = lost, 0
+		s.state, s.skip = desynced, 0
 	}
 }
 
-// chunk reads the line before a chunk's data. The empty line that ends the data
+// endChunkLine reads the line before a chunk's data. The empty line that ends the data
 // of the one before is no such line.
-func (s *scanner) chunk() {
-	if s.length == 0 {
+func (s *scanner) endChunkLine() {
+	if s.lineLength == 0 {
 		return
 	}
-	size, _, _ := strings.Cut(string(s.line), ";")
+	size, _, _ := strings.Cut(string(s.linePrefix), ";")
 	n, err := strconv.ParseInt(strings.TrimSpace(size), 16, 64)
 	switch {
 	case err != nil || n < 0:
-		s.state = lost
+		s.state = desynced
 	case n == 0:
 		s.state = inTrailer
 	default:
@@ -166,5 +166,5 @@
 	}
 }
 
-// next begins another head.
-func (s *scanner) next() { *s = scanner{line: s.line[:0], fault: s.fault} }
+// reset begins another head.
+func (s *scanner) reset() { *s = scanner{linePrefix: s.linePrefix[:0], fault: s.fault} }
