--- a/entry/decision/tally.go
+++ b/entry/decision/counters.go
@@ -7,20 +7,21 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// counterKey names one counter of requests by outcome.
+// counterKey identifies one counter of requests by outcome.
 type counterKey struct {
 	service string
 	outcome string
 	reason  string
 }
 
-// outcomeCounters counts decided requests. Services are those that a rule names, so that
-// callers cannot make series at will.
+// outcomeCounters counts requests by service, outcome and reason. Only services
+// named by a rule get a label value, so that callers cannot create an unbounded
+// number of time series.
 type outcomeCounters struct {
-	byKey sync.Map // tallyKey to *metrics.Counter
+	byKey sync.Map // counterKey to *metrics.Counter
 }
 
-func (t *outcomeCounters) count(d *Decision) {
+func (c *outcomeCounters) count(d *Decision) {
 	if d.Kind != Route {
 		return
 	}
@@ -28,10 +29,10 @@
 	if d.Rule == "" {
 		key.service = "" // no rule names it
 	}
-	counter, ok := t.byKey.Load(key)
+	counter, ok := c.byKey.Load(key)
 	if !ok {
 		name := fmt.Sprintf(`snipebeam_requests_total{service=%q,outcome=%q,reason=%q}`, key.service, key.outcome, key.reason)
-		counter, _ = t.byKey.LoadOrStore(key, metrics.GetOrCreateCounter(name))
+		counter, _ = c.byKey.LoadOrStore(key, metrics.GetOrCreateCounter(name))
 	}
 	counter.(*metrics.Counter).Inc()
 }
--- a/entry/decision/decision.go
+++ b/entry/decision/decision.go
@@ -1,6 +1,6 @@
 // Package decision writes one log line for each routing and placement
-// decision, off the request's path, and remembers the latest ones so that they
-// can be explained. Lines that had to be dropped are counted and reported.
+// decision, asynchronously to the request, and retains the latest ones so that
+// they can be explained. Dropped lines are counted and reported.
 //
 // Usage:
 //
@@ -12,7 +12,7 @@
 
 import "time"
 
-// Kind says what was decided.
+// Kind is the kind of a decision.
 type Kind string
 
 // Kinds of decisions.
@@ -21,22 +21,22 @@
 	Placement Kind = "placement"
 )
 
-// Candidate is what was known of one instance when a decision was taken.
+// Candidate is the state of one instance as seen when a decision was made.
 type Candidate struct {
 	Instance     string  `json:"instance"`
 	State        string  `json:"state"`
-	InFlight     int     `json:"inFlight"`             // of this host
-	Others       int     `json:"others,omitempty"`     // of the other entry hosts, as shared
-	Reported     int     `json:"reported,omitempty"`   // by the instance itself
-	ReportAgeNs  int64   `json:"knownAgeNs,omitempty"` // age of what others and the instance said
+	InFlight     int     `json:"inFlight"`             // requests of this host
+	Others       int     `json:"others,omitempty"`     // requests of the other entry hosts, as received from them
+	Reported     int     `json:"reported,omitempty"`   // load reported by the instance
+	ReportAgeNs  int64   `json:"knownAgeNs,omitempty"` // age of the reported load
 	Score        float64 `json:"score"`
-	Slowdown     float64 `json:"speed,omitempty"`        // multiple of the usual time that work takes, as last told
-	LatencyNs    int64   `json:"latencyNs,omitempty"`    // service time, normalised by the requests in flight
-	LatencyAgeNs int64   `json:"latencyAgeNs,omitempty"` // age of the last answer that it was learnt from
+	Slowdown     float64 `json:"speed,omitempty"`        // last reported multiple of the usual service time
+	LatencyNs    int64   `json:"latencyNs,omitempty"`    // service time, normalised by in-flight requests
+	LatencyAgeNs int64   `json:"latencyAgeNs,omitempty"` // age of the last response that LatencyNs includes
 	WhyExcluded  string  `json:"whyExcluded,omitempty"`
 }
 
-// Decision is one line of the decision log. It is not changed once written.
+// Decision is one line of the decision log. It is immutable once written.
 type Decision struct {
 	ID              string        `json:"id"`
 	Kind            Kind          `json:"kind"`
@@ -52,14 +52,14 @@
 	Instance        string        `json:"instance,omitempty"`
 	Reason          string        `json:"reason,omitempty"`
 	Waited          time.Duration `json:"waitedNs,omitempty"`
-	ProbesSent      int           `json:"asked,omitempty"` // instances asked for their load before the choice
-	ProbesCompleted int           `json:"told,omitempty"`  // of them, in time
+	ProbesSent      int           `json:"asked,omitempty"` // load probes sent before the choice
+	ProbesCompleted int           `json:"told,omitempty"`  // probes that completed in time
 	ProbeElapsed    time.Duration `json:"lookNs,omitempty"`
 	Latency         time.Duration `json:"latencyNs,omitempty"`
 	Status          int           `json:"status,omitempty"`
 	Outcome         string        `json:"outcome,omitempty"`
 	Problem         string        `json:"problem,omitempty"`
-	Detail          string        `json:"detail,omitempty"` // why, for people
+	Detail          string        `json:"detail,omitempty"` // human-readable reason
 	Hosts           []string      `json:"hosts,omitempty"`  // entry hosts of a placement
 	Candidates      []Candidate   `json:"candidates,omitempty"`
 }
--- a/entry/decision/log.go
+++ b/entry/decision/log.go
@@ -8,20 +8,20 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// queueLength is how many lines may wait to be written.
+// queueLength is the capacity of the queue, in lines.
 const queueLength = 8192
 
-// dropReportInterval is the time between two reports of dropped lines.
+// dropReportInterval is the interval of reports of dropped lines.
 const dropReportInterval = 10 * time.Second
 
-// Log writes decisions from a queue.
+// Log writes decisions asynchronously from a queue.
 type Log struct {
 	logger        hclog.Logger
 	queue         chan *Decision
 	recent        *recent
 	counters      outcomeCounters
 	dropped       atomic.Uint64
-	reportedDrops uint64 // dropped lines that were reported
+	reportedDrops uint64 // dropped lines already reported
 }
 
 // NewLog returns a log that writes through the logger.
@@ -40,13 +40,13 @@
 	}
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// Find returns one of the latest decisions, or nil.
+// Find returns a retained decision by its ID, or nil.
 func (l *Log) Find(id string) *Decision { return l.recent.find(id) }
 
-// Run writes queued lines until the context ends, then what is left.
+// Run writes queued lines until the context ends, and then flushes the queue.
 func (l *Log) Run(ctx context.Context) {
 	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
--- a/entry/decision/log_test.go
+++ b/entry/decision/log_test.go
@@ -12,7 +12,7 @@
 	"github.com/snipebeam/snipebeam/world/logging"
 )
 
-const lineCount = 10_000
+const lineCount = 10_000 // more than the queue holds
 
 func TestEveryLineIsWrittenOrCountedAsDropped(t *testing.T) {
 	var out bytes.Buffer
@@ -24,23 +24,23 @@
 	cancel()
 	log.Run(ctx)
 
-	written, told := 0, 0
+	written, reported := 0, 0
 	for line := range bytes.Lines(out.Bytes()) {
 		var fields map[string]any
 		must.NoError(t, json.Unmarshal(line, &fields))
 		if count, ok := fields["count"].(float64); ok {
-			told += int(count)
+			reported += int(count)
 			continue
 		}
 		written++
 	}
 	must.Positive(t, written)
-	must.Positive(t, told)
-	must.Eq(t, lineCount, written+told)
-	must.Eq(t, uint64(told), log.Dropped())
+	must.Positive(t, reported)
+	must.Eq(t, lineCount, written+reported)
+	must.Eq(t, uint64(reported), log.Dropped())
 }
 
-func TestFindForgetsTheOldest(t *testing.T) {
+func TestFindEvictsTheOldest(t *testing.T) {
 	var out bytes.Buffer
 	log := decision.NewLog(logging.New("test", "info", &out))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/entry/decision/recent.go
+++ b/entry/decision/recent.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// recentLength is how many decisions can be explained.
+// recentLength is the number of decisions retained for explanation.
 const recentLength = 4096
 
-// recent keeps the latest decisions in a ring.
+// recent is a ring buffer of the latest decisions, indexed by ID.
 type recent struct {
 	mu   sync.Mutex
 	ring [recentLength]*Decision
--- a/entry/discovery/announcement.go
+++ b/entry/discovery/announcement.go
@@ -12,17 +12,17 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Bounds of an announcement.
+// Limits of an announcement.
 const (
 	maxAnnouncementBytes = 16 << 10
 	maxSlots             = 10_000
 	maxLinkLimit         = 1_000_000
 )
 
-// namePattern is what an instance, service or zone may be called.
+// namePattern matches the valid names of instances, services and zones.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]{0,126}[A-Za-z0-9])?$`)
 
-// Announcement is what an instance says of itself.
+// Announcement is an instance's registration, as sent by the instance.
 type Announcement struct {
 	Service     string `json:"service"`
 	Address     string `json:"address"`
@@ -31,45 +31,45 @@
 	MaxLinks    uint32 `json:"maxLinks"`
 	Cold        bool   `json:"cold"`
 	Draining    bool   `json:"draining"`
-	Incarnation uint64 `json:"incarnation"` // raised on each start
-	Sequence    uint64 `json:"sequence"`    // raised with each announcement
+	Incarnation uint64 `json:"incarnation"` // increases with each start
+	Sequence    uint64 `json:"sequence"`    // increases with each announcement
 }
 
-// Lease tells an instance how long its announcement holds, and which other
-// entry hosts it can turn to.
+// Lease is the response to an announcement: how long it is valid, and which
+// other entry hosts the instance can announce itself to.
 type Lease struct {
 	LeaseSeconds float64  `json:"leaseSeconds"`
 	HeardBy      string   `json:"heardBy"`
 	Alternates   []string `json:"alternates,omitempty"`
 }
 
-// Membership takes what instances say of themselves.
+// Membership registers and withdraws instances.
 type Membership interface {
-	// Announce takes an announcement and renews its lease.
+	// Announce registers an instance or renews its lease.
 	Announce(m *wire.Instance) error
-	// Withdraw takes an instance's word that it leaves; incarnation 0 means the
-	// one that is known.
+	// Withdraw removes an instance that leaves; incarnation 0 means the current
+	// one.
 	Withdraw(id string, incarnation uint64) error
-	// Alternates returns platform addresses of other entry hosts.
+	// Alternates returns the platform addresses of other entry hosts.
 	Alternates(id string) []string
 }
 
 func (a *Announcement) validate() error {
 	switch {
 	case !namePattern.MatchString(a.Service):
-		return errors.Errorf("service %q is not a name", a.Service)
+		return errors.Errorf("invalid service name %q", a.Service)
 	case a.Zone != "" && !namePattern.MatchString(a.Zone):
-		return errors.Errorf("zone %q is not a name", a.Zone)
+		return errors.Errorf("invalid zone name %q", a.Zone)
 	case a.Slots > maxSlots:
-		return errors.Errorf("%d slots are over the most, %d", a.Slots, maxSlots)
+		return errors.Errorf("%d slots exceed the limit of %d", a.Slots, maxSlots)
 	case a.MaxLinks > maxLinkLimit:
-		return errors.Errorf("%d links are over the most, %d", a.MaxLinks, maxLinkLimit)
+		return errors.Errorf("%d links exceed the limit of %d", a.MaxLinks, maxLinkLimit)
 	}
 	return validateAddress(a.Address)
 }
 
-// validateAddress takes an IP address with a port: a name would be looked up on
-// the path of each request.
+// validateAddress accepts only an IP address with a port: a host name would need
+// a DNS lookup for each request.
 func validateAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -78,60 +78,60 @@
 	ip := net.ParseIP(host)
 	n, err := strconv.ParseUint(port, 10, 16)
 	if ip == nil || ip.IsUnspecified() || ip.IsMulticast() || err != nil || n == 0 {
-		return errors.Errorf("address %q is not an IP address and a port that can be called", address)
+		return errors.Errorf("address %q is not a unicast IP address and a nonzero port", address)
 	}
 	return nil
 }
 
-func (p *handler) requireKey(c *gin.Context) {
-	if !p.cfg.Keys.Accepts(c.Request) {
+func (h *handler) requireKey(c *gin.Context) {
+	if !h.cfg.Keys.Accepts(c.Request) {
 		abort(c, KeyRefused, "key missing or not accepted")
 	}
 }
 
-// requireValidID refuses ids that are not names.
-func (p *handler) requireValidID(c *gin.Context) {
+// requireValidID rejects instance IDs that are not valid names.
+func (h *handler) requireValidID(c *gin.Context) {
 	if !namePattern.MatchString(c.Param("id")) {
-		abort(c, Malformed, "the id of an instance holds up to 128 letters, digits, dots, hyphens and underscores")
+		abort(c, Malformed, "an instance id consists of up to 128 letters, digits, dots, hyphens and underscores")
 	}
 }
 
-func (p *handler) announce(c *gin.Context) {
+func (h *handler) announce(c *gin.Context) {
 	c.Request.Body = http.MaxBytesReader(c.Writer, c.Request.Body, maxAnnouncementBytes)
 	var a Announcement
 	if err := c.ShouldBindJSON(&a); err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			abort(c, TooLarge, "an announcement has at most "+strconv.Itoa(maxAnnouncementBytes)+" bytes")
+			abort(c, TooLarge, "announcement exceeds the limit of "+strconv.Itoa(maxAnnouncementBytes)+" bytes")
 			return
 		}
-		abort(c, Malformed, "the announcement is not the JSON that is wanted: "+err.Error())
+		abort(c, Malformed, "invalid announcement: "+err.Error())
 		return
 	}
 	if err := a.validate(); err != nil {
 		abort(c, Malformed, err.Error())
 		return
 	}
-	p.respond(c, p.cfg.Members.Announce(&wire.Instance{
+	h.respond(c, h.cfg.Members.Announce(&wire.Instance{
 		Id: c.Param("id"), Service: a.Service, Address: a.Address, Zone: a.Zone, Slots: a.Slots, MaxLinks: a.MaxLinks,
 		Cold: a.Cold, Draining: a.Draining, Incarnation: a.Incarnation, Sequence: a.Sequence,
 	}))
 }
 
-func (p *handler) withdraw(c *gin.Context) {
+func (h *handler) withdraw(c *gin.Context) {
 	incarnation, err := strconv.ParseUint(c.DefaultQuery("incarnation", "0"), 10, 64)
 	if err != nil {
 		abort(c, Malformed, "incarnation is not a number")
 		return
 	}
-	p.respond(c, p.cfg.Members.Withdraw(c.Param("id"), incarnation))
+	h.respond(c, h.cfg.Members.Withdraw(c.Param("id"), incarnation))
 }
 
-func (p *handler) respond(c *gin.Context, err error) {
+func (h *handler) respond(c *gin.Context, err error) {
 	switch {
 	case err == nil:
 		c.JSON(http.StatusOK, Lease{
-			LeaseSeconds: gossip.LeaseTime.Seconds(), HeardBy: p.cfg.Host, Alternates: p.cfg.Members.Alternates(c.Param("id")),
+			LeaseSeconds: gossip.LeaseTime.Seconds(), HeardBy: h.cfg.Host, Alternates: h.cfg.Members.Alternates(c.Param("id")),
 		})
 	case errors.Is(err, gossip.ErrOldIncarnation), errors.Is(err, gossip.ErrLeft):
 		abort(c, OldIncarnation, err.Error())
--- a/entry/discovery/discovery.go
+++ b/entry/discovery/discovery.go
@@ -1,12 +1,12 @@
-// Package discovery serves HTTP to callers that ask for addresses, to instances
-// that announce themselves, and to whoever watches this host's health.
+// Package discovery serves the platform's HTTP API: address lookup for callers,
+// registration for instances, and health checks and metrics for monitoring.
 //
-//	GET    /v1/addresses/SERVICE?zone=ZONE   entry hosts to use, with a lifetime
+//	GET    /v1/addresses/SERVICE?zone=ZONE   entry hosts to use, with a TTL
 //	PUT    /v1/instances/ID                  announce, or renew the lease
-//	DELETE /v1/instances/ID                  leave
+//	DELETE /v1/instances/ID                  withdraw
 //	GET    /livez, /readyz, /metrics
 //
-// What is refused is answered with a Problem.
+// Rejected calls get a Problem as their response body.
 //
 // Usage:
 //
@@ -25,7 +25,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Config are what the platform's handler works with.
+// Config holds the dependencies and settings of the platform handler.
 type Config struct {
 	Host      string
 	Table     *rules.Table
@@ -35,34 +35,36 @@
 	Metrics   func(w io.Writer) // writes the Prometheus text format
 	Decisions *decision.Log
 	Keys      *key.Ring
-	Rate      func(service string) float64 // requests a second over all entry hosts
-	HostRate  float64                      // requests a second that one entry host takes of a service
+	Rate      func(service string) float64 // requests per second over all entry hosts
+	HostRate  float64                      // requests per second of one service that one entry host accepts
 }
 
 type handler struct {
 	cfg Config
 }
 
-// New returns the handler.
-func New(parts Config) http.Handler {
+// New returns the HTTP handler of the platform API.
+func New(cfg Config) http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.HandleMethodNotAllowed = true
 	engine.Use(gin.Recovery())
-	engine.NoRoute(func(c *gin.Context) { abort(c, NotFound, "there is nothing at "+c.Request.URL.Path) })
-	engine.NoMethod(func(c *gin.Context) { abort(c, WrongMethod, c.Request.Method+" is not for "+c.Request.URL.Path) })
-	p := &handler{cfg: parts}
-	engine.GET("/v1/addresses/:service", p.addresses)
-	engine.PUT("/v1/instances/:id", p.requireKey, p.requireValidID, p.announce)
-	engine.DELETE("/v1/instances/:id", p.requireKey, p.requireValidID, p.withdraw)
+	engine.NoRoute(func(c *gin.Context) { abort(c, NotFound, "no resource at "+c.Request.URL.Path) })
+	engine.NoMethod(func(c *gin.Context) {
+		abort(c, WrongMethod, c.Request.Method+" is not allowed for "+c.Request.URL.Path)
+	})
+	h := &handler{cfg: cfg}
+	engine.GET("/v1/addresses/:service", h.addresses)
+	engine.PUT("/v1/instances/:id", h.requireKey, h.requireValidID, h.announce)
+	engine.DELETE("/v1/instances/:id", h.requireKey, h.requireValidID, h.withdraw)
 	engine.GET("/livez", func(c *gin.Context) { c.String(http.StatusOK, "live\n") })
-	engine.GET("/readyz", p.ready)
-	engine.GET("/metrics", func(c *gin.Context) { parts.Metrics(c.Writer) })
+	engine.GET("/readyz", h.ready)
+	engine.GET("/metrics", func(c *gin.Context) { cfg.Metrics(c.Writer) })
 	return engine
 }
 
-func (p *handler) ready(c *gin.Context) {
-	if !p.cfg.Ready() {
+func (h *handler) ready(c *gin.Context) {
+	if !h.cfg.Ready() {
 		c.String(http.StatusServiceUnavailable, "not ready\n")
 		return
 	}
--- a/entry/discovery/discovery_test.go
+++ b/entry/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// fixture is a platform handler with what it works with.
+// fixture is a platform handler with its dependencies.
 type fixture struct {
 	table   *rules.Table
 	members *fakeMembership
@@ -62,7 +62,7 @@
 	return p.Reason
 }
 
-func TestAddressAnswers(t *testing.T) {
+func TestAddressResponses(t *testing.T) {
 	f := newFixture()
 	must.Eq(t, discovery.NotReady, refusalReason(t, f.call(http.MethodGet, "/v1/addresses/a", "")))
 	f.applyRules(t)
@@ -73,14 +73,14 @@
 	for _, name := range []string{"e1", "e2", "e3"} {
 		f.entries = append(f.entries, &wire.HostReport{Name: name, Role: "entry", State: "ready", Zone: "z" + name[1:], CallersAddress: "127.0.0.1:720" + name[1:]})
 	}
-	var answer discovery.AddressResponse
+	var response discovery.AddressResponse
 	w = f.call(http.MethodGet, "/v1/addresses/a?zone=z2", "")
-	must.NoError(t, json.Unmarshal(w.Body.Bytes(), &answer))
-	must.Len(t, 2, answer.Addresses)
-	must.Positive(t, answer.TTLSeconds)
+	must.NoError(t, json.Unmarshal(w.Body.Bytes(), &response))
+	must.Len(t, 2, response.Addresses)
+	must.Positive(t, response.TTLSeconds)
 }
 
-func TestAnnouncementsAreChecked(t *testing.T) {
+func TestAnnouncementsAreValidated(t *testing.T) {
 	f := newFixture()
 	good := `{"service":"a","address":"127.0.0.1:9001","slots":3}`
 	must.Eq(t, http.StatusOK, f.call(http.MethodPut, "/v1/instances/a-1", good).Code)
@@ -110,7 +110,7 @@
 	must.Len(t, 1, f.members.core.Instances())
 }
 
-func TestAnnouncementsNeedAKeyOnceThereAreKeys(t *testing.T) {
+func TestAnnouncementsNeedAKeyIfKeysAreConfigured(t *testing.T) {
 	f := newFixture("new", "old")
 	body := `{"service":"a","address":"127.0.0.1:9001"}`
 	must.Eq(t, discovery.KeyRefused, refusalReason(t, f.call(http.MethodPut, "/v1/instances/a-1", body)))
--- a/entry/discovery/members_test.go
+++ b/entry/discovery/members_test.go
@@ -12,7 +12,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// fakeMembership is the membership of one host, without a network.
+// fakeMembership is the gossip membership of one host, without a network.
 type fakeMembership struct {
 	core *gossip.Core
 }
@@ -33,7 +33,7 @@
 
 func (m *fakeMembership) Alternates(string) []string { return []string{"127.0.0.1:7301"} }
 
-func TestAnnouncementsOfAnOldIncarnationAreRefused(t *testing.T) {
+func TestAnnouncementsOfAnOldIncarnationAreRejected(t *testing.T) {
 	f := newFixture()
 	announce := func(incarnation string) int {
 		return f.call(http.MethodPut, "/v1/instances/a-1", `{"service":"a","address":"127.0.0.1:9001","incarnation":`+incarnation+`}`).Code
--- a/entry/discovery/problem.go
+++ b/entry/discovery/problem.go
@@ -6,10 +6,11 @@
 	"github.com/gin-gonic/gin"
 )
 
-// Reason says why a call was refused. It is machine-readable and stable.
+// Reason is the machine-readable reason for rejecting a call. Its values are
+// stable.
 type Reason string
 
-// Reasons of refused calls.
+// Reasons for rejecting calls.
 const (
 	UnknownService Reason = "unknown-service"
 	NotReady       Reason = "not-ready"
@@ -34,10 +35,11 @@
 	OldIncarnation: http.StatusConflict,
 }
 
-// retryAfterSeconds is advised to callers that came too early.
+// retryAfterSeconds is the Retry-After value of calls that are rejected because
+// this host or service is not ready.
 const retryAfterSeconds = "1"
 
-// Problem is the body of a refused call (RFC 9457).
+// Problem is the response body of a rejected call (RFC 9457).
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -46,7 +48,7 @@
 	Reason Reason `json:"reason"`
 }
 
-// abort ends a call with a problem.
+// abort rejects a call with a Problem.
 func abort(c *gin.Context, reason Reason, detail string) {
 	status := statusOf[reason]
 	if status == http.StatusServiceUnavailable {
--- a/entry/dns/dns.go
+++ b/entry/dns/dns.go
@@ -1,5 +1,5 @@
-// Package dns answers callers that ask by DNS which entry hosts to use: A,
-// AAAA and SRV records for SERVICE.DOMAIN, each with a lifetime.
+// Package dns is a DNS server from which callers learn which entry hosts to use.
+// It serves A, AAAA and SRV records for SERVICE.DOMAIN, each with a TTL.
 //
 // Usage:
 //
@@ -20,18 +20,18 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Directory knows which entry hosts take a service's callers.
+// Directory maps services to the entry hosts that accept their callers.
 type Directory interface {
 	// Ready reports whether this host has rules in force.
 	Ready() bool
 	// Service returns the hosts for a service; known is false if no rule names
-	// it.
+	// the service.
 	Service(name string) (answer placement.Answer, known bool)
-	// Host returns an entry host by its name, or nil.
+	// Host returns an entry host by its name, or nil if there is none.
 	Host(name string) *wire.HostReport
 }
 
-// Server answers over UDP and TCP.
+// Server is a DNS server over UDP and TCP.
 type Server struct {
 	domain    string
 	ttl       time.Duration
@@ -41,8 +41,8 @@
 }
 
 // New returns a server for names below the domain, written as "snipebeam.".
-func New(domain string, lifetime time.Duration, hosts Directory) *Server {
-	return &Server{domain: mdns.Fqdn(domain), ttl: lifetime, directory: hosts}
+func New(domain string, ttl time.Duration, directory Directory) *Server {
+	return &Server{domain: mdns.Fqdn(domain), ttl: ttl, directory: directory}
 }
 
 // Start listens on the address and serves until Stop.
@@ -63,7 +63,8 @@
 	return packets.LocalAddr(), nil
 }
 
-// serve returns once the server serves, so that Stop can end it.
+// serve starts the server and returns once it accepts queries, so that Stop can
+// shut it down.
 func serve(server *mdns.Server) {
 	started := make(chan struct{})
 	server.NotifyStartedFunc = func() { close(started) }
@@ -71,7 +72,7 @@
 	<-started
 }
 
-// Stop ends both servers.
+// Stop shuts down both transports.
 func (s *Server) Stop(ctx context.Context) error {
 	if s.udp == nil {
 		return nil
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// ServeDNS answers one query.
+// ServeDNS responds to one query.
 func (s *Server) ServeDNS(w mdns.ResponseWriter, req *mdns.Msg) {
 	reply := new(mdns.Msg)
 	reply.SetReply(req)
@@ -104,11 +105,11 @@
 	if _, overUDP := w.RemoteAddr().(*net.UDPAddr); overUDP {
 		reply.Truncate(maxUDPSize(req))
 	}
-	// A lost reply is asked for again.
+	// The error is ignored: a client that gets no reply retries.
 	_ = w.WriteMsg(reply)
 }
 
-// maxUDPSize returns how large a reply the asker takes over UDP.
+// maxUDPSize returns the largest reply that the client accepts over UDP.
 func maxUDPSize(req *mdns.Msg) int {
 	if opt := req.IsEdns0(); opt != nil {
 		return max(mdns.MinMsgSize, int(opt.UDPSize()))
@@ -147,7 +148,7 @@
 		s.addRecord(reply, q, host, 0)
 	}
 	if q.Qtype != mdns.TypeSRV {
-		// Address records have no priority: a spare would be used like the others.
+		// Address records have no priority: a spare would be used like an active host.
 		return
 	}
 	for n, host := range chosen.Spares() {
@@ -170,10 +171,10 @@
 		return
 	}
 	ip := net.ParseIP(text)
-	head := mdns.RR_Header{Name: q.Name, Rrtype: q.Qtype, Class: mdns.ClassINET, Ttl: uint32(s.ttl.Seconds())}
+	header := mdns.RR_Header{Name: q.Name, Rrtype: q.Qtype, Class: mdns.ClassINET, Ttl: uint32(s.ttl.Seconds())}
 	switch q.Qtype {
 	case mdns.TypeA, mdns.TypeAAAA:
-		if record := addressRecord(head, ip); record != nil {
+		if record := addressRecord(header, ip); record != nil {
 			reply.Answer = append(reply.Answer, record)
 		}
 	case mdns.TypeSRV:
@@ -182,30 +183,30 @@
 			return
 		}
 		target := mdns.Fqdn(host.GetName() + hostsLabel + "." + s.domain)
-		reply.Answer = append(reply.Answer, &mdns.SRV{Hdr: head, Priority: priority, Weight: 1, Port: uint16(port), Target: target})
+		reply.Answer = append(reply.Answer, &mdns.SRV{Hdr: header, Priority: priority, Weight: 1, Port: uint16(port), Target: target})
 		s.addTargetAddress(reply, target, ip)
 	default:
 	}
 }
 
 func (s *Server) addTargetAddress(reply *mdns.Msg, target string, ip net.IP) {
-	kind := mdns.TypeAAAA
+	rrtype := mdns.TypeAAAA
 	if ip.To4() != nil {
-		kind = mdns.TypeA
+		rrtype = mdns.TypeA
 	}
-	head := mdns.RR_Header{Name: target, Rrtype: kind, Class: mdns.ClassINET, Ttl: uint32(s.ttl.Seconds())}
-	if record := addressRecord(head, ip); record != nil {
+	header := mdns.RR_Header{Name: target, Rrtype: rrtype, Class: mdns.ClassINET, Ttl: uint32(s.ttl.Seconds())}
+	if record := addressRecord(header, ip); record != nil {
 		reply.Extra = append(reply.Extra, record)
 	}
 }
 
-func addressRecord(head mdns.RR_Header, ip net.IP) mdns.RR {
-	four := ip.To4()
+func addressRecord(header mdns.RR_Header, ip net.IP) mdns.RR {
+	ip4 := ip.To4()
 	switch {
-	case head.Rrtype == mdns.TypeA && four != nil:
-		return &mdns.A{Hdr: head, A: four}
-	case head.Rrtype == mdns.TypeAAAA && four == nil && ip != nil:
-		return &mdns.AAAA{Hdr: head, AAAA: ip}
+	case header.Rrtype == mdns.TypeA && ip4 != nil:
+		return &mdns.A{Hdr: header, A: ip4}
+	case header.Rrtype == mdns.TypeAAAA && ip4 == nil && ip != nil:
+		return &mdns.AAAA{Hdr: header, AAAA: ip}
 	}
 	return nil
 }
--- a/entry/dns/dns_test.go
+++ b/entry/dns/dns_test.go
@@ -13,11 +13,11 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// fakeDirectory knows the service "a" on some hosts.
+// fakeDirectory has the service "a" on the given hosts.
 type fakeDirectory struct {
 	ready  bool
 	hosts  []*wire.HostReport
-	spares int // the last ones of the hosts
+	spares int // number of hosts, at the end of the list, that are spares
 }
 
 func (d *fakeDirectory) Ready() bool { return d.ready }
@@ -46,7 +46,7 @@
 	return all
 }
 
-// responseRecorder keeps the reply to a query that came over UDP or TCP.
+// responseRecorder records the reply to a query from the remote address.
 type responseRecorder struct {
 	mdns.ResponseWriter
 	remote net.Addr
@@ -66,7 +66,7 @@
 	return w.reply
 }
 
-func query(name string, kind uint16) *mdns.Msg { return new(mdns.Msg).SetQuestion(name, kind) }
+func query(name string, rrtype uint16) *mdns.Msg { return new(mdns.Msg).SetQuestion(name, rrtype) }
 
 func TestAnswers(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: append(entries(2), &wire.HostReport{Name: "six", CallersAddress: "[fd00::1]:7200"})}
@@ -84,7 +84,7 @@
 	must.SliceEmpty(t, exchange(d, query("a.snipebeam.", mdns.TypeTXT)).Answer)
 }
 
-func TestSparesAreToldWithALowerPriorityOnly(t *testing.T) {
+func TestSparesAreListedWithALowerPriorityOnly(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: entries(3), spares: 2}
 	must.Len(t, 1, exchange(d, query("a.snipebeam.", mdns.TypeA)).Answer)
 	reply := exchange(d, query("a.snipebeam.", mdns.TypeSRV))
@@ -111,7 +111,7 @@
 	must.Eq(t, mdns.RcodeServerFailure, exchange(d, query("a.snipebeam.", mdns.TypeA)).Rcode)
 }
 
-func TestLongAnswersAreCutOverUDPOnly(t *testing.T) {
+func TestLongAnswersAreTruncatedOverUDPOnly(t *testing.T) {
 	d := &fakeDirectory{ready: true, hosts: entries(500)}
 	reply := exchange(d, query("a.snipebeam.", mdns.TypeA))
 	must.True(t, reply.Truncated)
@@ -121,7 +121,7 @@
 	must.Len(t, 500, w.reply.Answer)
 }
 
-func TestItListensOnBothTransports(t *testing.T) {
+func TestServerListensOnBothTransports(t *testing.T) {
 	server := dns.New("snipebeam", 5*time.Second, &fakeDirectory{ready: true, hosts: entries(1)})
 	address, err := server.Start("127.0.0.1:0")
 	must.NoError(t, err)
--- a/entry/framing/framing.go
+++ b/entry/framing/framing.go
@@ -1,9 +1,9 @@
-// Package framing refuses HTTP/1.1 requests whose end could be read in two
-// ways: with both Content-Length and Transfer-Encoding, with either of them
-// twice, with lines that end in a bare line feed or hold a bare carriage
-// return, or with folded header lines. The HTTP library accepts some of these;
-// what stands behind or before this host might read them differently (request
-// smuggling, RFC 9112, section 11.2).
+// Package framing rejects HTTP/1.1 requests with ambiguous framing: with both
+// Content-Length and Transfer-Encoding, with either of them repeated, with lines
+// that end in a bare line feed or contain a bare carriage return, or with folded
+// header lines. The HTTP library accepts some of these; a proxy or server in
+// front of or behind this host might parse them differently (request smuggling,
+// RFC 9112, section 11.2).
 //
 // Usage:
 //
@@ -19,14 +19,14 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-// Protect makes a server refuse ambiguous requests, and returns the listener
-// that it must serve.
+// Protect makes a server reject ambiguous requests, and returns the listener
+// that the server must use.
 func Protect(server *http.Server, listener net.Listener) net.Listener {
 	server.Handler = guard(server.Handler)
-	outer := server.ConnContext
+	inner := server.ConnContext
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		if outer != nil {
-			ctx = outer(ctx, c)
+		if inner != nil {
+			ctx = inner(ctx, c)
 		}
 		return context.WithValue(ctx, connKey{}, c)
 	}
@@ -35,15 +35,15 @@
 
 type connKey struct{}
 
-// guard refuses requests on a connection that carried an ambiguous one.
+// guard rejects requests on a connection that carried an ambiguous one.
 func guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		watched, ok := r.Context().Value(connKey{}).(*conn)
+		scanned, ok := r.Context().Value(connKey{}).(*conn)
 		if !ok {
 			next.ServeHTTP(w, r)
 			return
 		}
-		if fault := watched.fault(); fault != "" {
+		if fault := scanned.fault(); fault != "" {
 			w.Header().Set("Connection", "close")
 			outcome.New(outcome.NotRun, outcome.Malformed, fault).Write(w, "")
 			return
@@ -54,7 +54,7 @@
 
 type scanningListener struct{ net.Listener }
 
-// Accept returns a connection whose bytes are watched.
+// Accept returns a connection whose bytes are scanned.
 func (l *scanningListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/entry/framing/framing_test.go
+++ b/entry/framing/framing_test.go
@@ -19,7 +19,8 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-// startServer serves an echo of bodies behind the guard and returns its address.
+// startServer starts a protected server that echoes request bodies, and returns
+// its address.
 func startServer(t *testing.T) string {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -32,7 +33,7 @@
 }
 
 // exchange sends bytes on one connection, in parts, and returns the statuses
-// and bodies of the answers.
+// and bodies of the responses.
 func exchange(address string, wanted int, parts ...string) (statuses []int, bodies []string) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return statuses, bodies
 }
 
-func TestAmbiguousRequestsAreRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	address := startServer(t)
 	cases := map[string]string{
 		"length and chunks":   "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nX",
@@ -87,16 +88,16 @@
 	}
 }
 
-func TestARefusalIsTyped(t *testing.T) {
+func TestRejectionHasAReason(t *testing.T) {
 	statuses, bodies := exchange(startServer(t), 1, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	must.Eq(t, []int{http.StatusBadRequest}, statuses)
 	must.StrContains(t, bodies[0], `"reason":"malformed"`)
 	must.StrContains(t, bodies[0], "both Content-Length and Transfer-Encoding")
 }
 
-// A connection may carry any mix of whole requests, cut anywhere on the way;
-// what their bodies hold is never taken for a head.
-func TestWholeRequestsPassHoweverTheyAreCut(t *testing.T) {
+// A connection may carry any mix of complete requests, split anywhere into
+// segments. Guards against a scanner that parses part of a body as a head.
+func TestCompleteRequestsPassHoweverTheyAreSplit(t *testing.T) {
 	address := startServer(t)
 	request := rapid.Custom(func(t *rapid.T) string {
 		body := rapid.SampledFrom([]string{"", "x", "a\nb", "GET / HTTP/1.1\nTransfer-Encoding: x\n\n", strings.Repeat("y\n", 40)}).Draw(t, "body")
--- a/entry/framing/scanner.go
+++ b/entry/framing/scanner.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// conn watches what is read from a connection.
+// conn scans the bytes read from a connection.
 type conn struct {
 	net.Conn
 	mu      sync.Mutex
 	scanner scanner
 }
 
-// Read reads and watches.
+// Read reads from the connection and scans the bytes read.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
@@ -23,38 +23,39 @@
 	return n, err
 }
 
-// fault returns what was ambiguous, empty for nothing.
+// fault describes the first ambiguity found, and is empty if there is none.
 func (c *conn) fault() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scanner.fault
 }
 
-// maxLinePrefix bounds how much of a header line is kept. Longer names and lengths
-// are none of those that are looked for.
+// maxLinePrefix bounds the bytes kept of each line. The header names and lengths
+// that the scanner checks are shorter.
 const maxLinePrefix = 64
 
-// state is what the next byte belongs to.
+// state is the part of a message that the next byte belongs to.
 type state int
 
 const (
 	inHead    state = iota
-	inChunk         // the line before a chunk's data, or its end
-	inTrailer       // the lines after the last chunk
-	desynced        // where the next head begins is not known
+	inChunk         // the line with a chunk's size, or the end of its data
+	inTrailer       // the trailer section after the last chunk
+	desynced        // the start of the next head is unknown
 )
 
-// scanner follows the requests on one connection and checks their heads.
+// scanner parses the framing of the requests on one connection and checks their
+// heads.
 type scanner struct {
 	state             state
-	skip              int64  // bytes of body or chunk that come before the next line
-	linePrefix        []byte // start of the current line
-	lineLength        int    // of the current line so far
-	headLines         int    // of the current head, before the current line
+	skip              int64  // bytes of a body or chunk left before the next line
+	linePrefix        []byte // first bytes of the current line
+	lineLength        int    // bytes of the current line so far
+	headLines         int    // complete lines of the current head
 	prev              byte
 	contentLengths    []string // values of Content-Length
-	transferEncodings int      // header lines of Transfer-Encoding
-	fault             string   // first fault of the connection
+	transferEncodings int      // number of Transfer-Encoding headers
+	fault             string   // first ambiguity found on the connection
 }
 
 func (s *scanner) feed(p []byte) {
@@ -77,7 +78,7 @@
 	case b == '\n':
 		s.endLine()
 	case s.prev == '\r':
-		s.fault = "a line holds a bare carriage return"
+		s.fault = "a line contains a bare carriage return"
 	case s.state == inHead && s.lineLength == 0 && s.headLines > 0 && (b == ' ' || b == '\t'):
 		s.fault = "a header line is folded"
 	case b != '\r':
@@ -123,9 +124,9 @@
 	case len(s.contentLengths) > 0 && s.transferEncodings > 0:
 		s.fault = "the head has both Content-Length and Transfer-Encoding"
 	case len(s.contentLengths) > 1:
-		s.fault = "the head has several Content-Length"
+		s.fault = "the head has several Content-Length headers"
 	case s.transferEncodings > 1:
-		s.fault = "the head has several Transfer-Encoding"
+		s.fault = "the head has several Transfer-Encoding headers"
 	case s.transferEncodings == 1:
 		s.reset()
 		s.state = inChunk
@@ -134,8 +135,8 @@
 	}
 }
 
-// skipBody skips a body of a given length. The library refuses a length that is no
-// number, and closes the connection.
+// skipBody skips a body whose length is given by Content-Length. The HTTP
+// library rejects an invalid length and closes the connection.
 func (s *scanner) skipBody() {
 	n, err := int64(0), error(nil)
 	if len(s.contentLengths) == 1 {
@@ -148,8 +149,8 @@
 	}
 }
 
-// endChunkLine reads the line before a chunk's data. The empty line that ends the data
-// of the one before is no such line.
+// endChunkLine parses the line with a chunk's size. It ignores the empty line
+// that ends the data of the previous chunk.
 func (s *scanner) endChunkLine() {
 	if s.lineLength == 0 {
 		return
@@ -166,5 +167,5 @@
 	}
 }
 
-// reset begins another head.
+// reset prepares the scanner for the next head.
 func (s *scanner) reset() { *s = scanner{linePrefix: s.linePrefix[:0], fault: s.fault} }
