--- a/entry/control/watch_test.go
+++ b/entry/control/watch_test.go
@@ -151,7 +151,7 @@
 	case state == corrupt && !req.GetWhole():
 		response.Text = versionText(version + 1)
 	case known > 0 && !req.GetWhole():
-		response.Delta, _ = delta.Make(versionText(known), versionText(version))
+		response.Delta, _ = delta.Diff(versionText(known), versionText(version))
 	default:
 		response.Text = versionText(version)
 	}
--- a/entry/discovery/address.go
+++ b/entry/discovery/address.go
@@ -37,7 +37,7 @@
 		return
 	}
 	set := inForce.Set()
-	if !set.Knows(service) {
+	if !set.HasService(service) {
 		abort(c, UnknownService, "no rule names the service "+service)
 		return
 	}
--- a/entry/discovery/discovery_test.go
+++ b/entry/discovery/discovery_test.go
@@ -31,7 +31,7 @@
 	f := &fixture{table: rules.NewTable(), members: newMembers()}
 	f.handler = discovery.New(discovery.Config{
 		Host: "e1", Table: f.table, Members: f.members, Entries: func() []*wire.HostReport { return f.entries },
-		Ready: func() bool { return true }, Rate: placement.NewRates().Of,
+		Ready: func() bool { return true }, Rate: placement.NewRates().ArrivalRate,
 		Decisions: decision.NewLog(hclog.NewNullLogger()), Keys: key.New(keys...), Metrics: func(io.Writer) {},
 	})
 	return f
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -182,7 +182,7 @@
 func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, doors *doors, exporter *prometheus.Exporter) {
 	handler := discovery.New(discovery.Config{
 		Host: cfg.Host.Name, Table: table, Members: node, Entries: node.Entries,
-		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: doors.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.Of,
+		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: doors.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.ArrivalRate,
 	})
 	server := &http.Server{
 		Handler: handler, MaxHeaderBytes: cfg.Limits.HeaderBytes,
