--- a/entry/decision/log_test.go
+++ b/entry/decision/log_test.go
@@ -12,35 +12,35 @@
 	"github.com/snipebeam/snipebeam/world/logging"
 )
 
-const moreThanTheQueue = 10_000
+const lineCount = 10_000 // more than the queue holds
 
 func TestEveryLineIsWrittenOrCountedAsDropped(t *testing.T) {
 	var out bytes.Buffer
 	log := decision.NewLog(logging.New("test", "info", &out))
-	for n := range moreThanTheQueue {
+	for n := range lineCount {
 		log.Write(&decision.Decision{ID: fmt.Sprint(n), Kind: decision.Route, Service: "catalogue"})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	log.Run(ctx)
 
-	written, told := 0, 0
+	written, reported := 0, 0
 	for line := range bytes.Lines(out.Bytes()) {
 		var fields map[string]any
 		must.NoError(t, json.Unmarshal(line, &fields))
 		if count, ok := fields["count"].(float64); ok {
-			told += int(count)
+			reported += int(count)
 			continue
 		}
 		written++
 	}
 	must.Positive(t, written)
-	must.Positive(t, told)
-	must.Eq(t, moreThanTheQueue, written+told)
-	must.Eq(t, uint64(told), log.Dropped())
+	must.Positive(t, reported)
+	must.Eq(t, lineCount, written+reported)
+	must.Eq(t, uint64(reported), log.Dropped())
 }
 
-func TestFindForgetsTheOldest(t *testing.T) {
+func TestFindEvictsTheOldest(t *testing.T) {
 	var out bytes.Buffer
 	log := decision.NewLog(logging.New("test", "info", &out))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/entry/framing/scanner.go
+++ b/entry/framing/scanner.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// conn watches what is read from a connection.
+// conn scans the bytes read from a connection.
 type conn struct {
 	net.Conn
 	mu      sync.Mutex
 	scanner scanner
 }
 
-// Read reads and watches.
+// Read reads from the connection and scans the bytes read.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
@@ -23,142 +23,143 @@
 	return n, err
 }
 
-// fault returns what was ambiguous, empty for nothing.
+// fault describes the first ambiguity found, and is empty if there is none.
 func (c *conn) fault() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scanner.fault
 }
 
-// maxLine bounds how much of a header line is kept. Longer names and lengths
-// are none of those that are looked for.
-const maxLine = 64
+// maxLinePrefix bounds the bytes kept of each line. The header names and lengths
+// that the scanner checks are shorter.
+const maxLinePrefix = 64
 
-// state is what the next byte belongs to.
+// state is the part of a message that the next byte belongs to.
 type state int
 
 const (
 	inHead    state = iota
-	inChunk         // the line before a chunk's data, or its end
-	inTrailer       // the lines after the last chunk
-	lost            // where the next head begins is not known
+	inChunk         // the line with a chunk's size, or the end of its data
+	inTrailer       // the trailer section after the last chunk
+	desynced        // the start of the next head is unknown
 )
 
-// scanner follows the requests on one connection and checks their heads.
+// scanner parses the framing of the requests on one connection and checks their
+// heads.
 type scanner struct {
-	state   state
-	skip    int64  // bytes of body or chunk that come before the next line
-	line    []byte // start of the current line
-	length  int    // of the current line so far
-	lines   int    // of the current head, before the current line
-	last    byte
-	lengths []string // values of Content-Length
-	codings int      // header lines of Transfer-Encoding
-	fault   string   // first fault of the connection
+	state             state
+	skip              int64  // bytes of a body or chunk left before the next line
+	linePrefix        []byte // first bytes of the current line
+	lineLength        int    // bytes of the current line so far
+	headLines         int    // complete lines of the current head
+	prev              byte
+	contentLengths    []string // values of Content-Length
+	transferEncodings int      // number of Transfer-Encoding headers
+	fault             string   // first ambiguity found on the connection
 }
 
 func (s *scanner) feed(p []byte) {
-	for len(p) > 0 && s.state != lost && s.fault == "" {
+	for len(p) > 0 && s.state != desynced && s.fault == "" {
 		if s.skip > 0 {
 			n := min(s.skip, int64(len(p)))
 			s.skip -= n
 			p = p[n:]
 			continue
 		}
-		s.take(p[0])
+		s.scanByte(p[0])
 		p = p[1:]
 	}
 }
 
-func (s *scanner) take(b byte) {
+func (s *scanner) scanByte(b byte) {
 	switch {
-	case b == '\n' && s.last != '\r':
+	case b == '\n' && s.prev != '\r':
 		s.fault = "a line ends in a bare line feed"
 	case b == '\n':
 		s.endLine()
-	case s.last == '\r':
-		s.fault = "a line holds a bare carriage return"
-	case s.state == inHead && s.length == 0 && s.lines > 0 && (b == ' ' || b == '\t'):
+	case s.prev == '\r':
+		s.fault = "a line contains a bare carriage return"
+	case s.state == inHead && s.lineLength == 0 && s.headLines > 0 && (b == ' ' || b == '\t'):
 		s.fault = "a header line is folded"
 	case b != '\r':
-		s.length++
-		if len(s.line) < maxLine {
-			s.line = append(s.line, b)
+		s.lineLength++
+		if len(s.linePrefix) < maxLinePrefix {
+			s.linePrefix = append(s.linePrefix, b)
 		}
 	}
-	s.last = b
+	s.prev = b
 }
 
 func (s *scanner) endLine() {
-	empty := s.length == 0
+	empty := s.lineLength == 0
 	switch {
 	case s.state == inChunk:
-		s.chunk()
+		s.endChunkLine()
 	case s.state == inTrailer && empty:
-		s.next()
-	case s.state == inHead && empty && s.lines > 0:
+		s.reset()
+	case s.state == inHead && empty && s.headLines > 0:
 		s.endHead()
 	case s.state == inHead && !empty:
-		s.header()
-		s.lines++
+		s.parseHeader()
+		s.headLines++
 	}
-	s.line, s.length = s.line[:0], 0
+	s.linePrefix, s.lineLength = s.linePrefix[:0], 0
 }
 
-func (s *scanner) header() {
-	name, value, found := strings.Cut(string(s.line), ":")
-	if s.lines == 0 || !found {
+func (s *scanner) parseHeader() {
+	name, value, found := strings.Cut(string(s.linePrefix), ":")
+	if s.headLines == 0 || !found {
 		return
 	}
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "content-length":
-		s.lengths = append(s.lengths, strings.TrimSpace(value))
+		s.contentLengths = append(s.contentLengths, strings.TrimSpace(value))
 	case "transfer-encoding":
-		s.codings++
+		s.transferEncodings++
 	}
 }
 
 func (s *scanner) endHead() {
 	switch {
-	case len(s.lengths) > 0 && s.codings > 0:
+	case len(s.contentLengths) > 0 && s.transferEncodings > 0:
 		s.fault = "the head has both Content-Length and Transfer-Encoding"
-	case len(s.lengths) > 1:
-		s.fault = "the head has several Content-Length"
-	case s.codings > 1:
-		s.fault = "the head has several Transfer-Encoding"
-	case s.codings == 1:
-		s.next()
+	case len(s.contentLengths) > 1:
+		s.fault = "the head has several Content-Length headers"
+	case s.transferEncodings > 1:
+		s.fault = "the head has several Transfer-Encoding headers"
+	case s.transferEncodings == 1:
+		s.reset()
 		s.state = inChunk
 	default:
-		s.body()
+		s.skipBody()
 	}
 }
 
-// body skips a body of a given length. The library refuses a length that is no
-// number, and closes the connection.
-func (s *scanner) body() {
+// skipBody skips a body whose length is given by Content-Length. The HTTP
+// library rejects an invalid length and closes the connection.
+func (s *scanner) skipBody() {
 	n, err := int64(0), error(nil)
-	if len(s.lengths) == 1 {
-		n, err = strconv.ParseInt(s.lengths[0], 10, 64)
+	if len(s.contentLengths) == 1 {
+		n, err = strconv.ParseInt(s.contentLengths[0], 10, 64)
 	}
-	s.next()
+	s.reset()
 	s.skip = n
 	if err != nil || n < 0 {
-		s.state, s.skip = lost, 0
+		s.state, s.skip = desynced, 0
 	}
 }
 
-// chunk reads the line before a chunk's data. The empty line that ends the data
-// of the one before is no such line.
-func (s *scanner) chunk() {
-	if s.length == 0 {
+// endChunkLine parses the line with a chunk's size. It ignores the empty line
+// that ends the data of the previous chunk.
+func (s *scanner) endChunkLine() {
+	if s.lineLength == 0 {
 		return
 	}
-	size, _, _ := strings.Cut(string(s.line), ";")
+	size, _, _ := strings.Cut(string(s.linePrefix), ";")
 	n, err := strconv.ParseInt(strings.TrimSpace(size), 16, 64)
 	switch {
 	case err != nil || n < 0:
-		s.state = lost
+		s.state = desynced
 	case n == 0:
 		s.state = inTrailer
 	default:
@@ -166,5 +167,5 @@
 	}
 }
 
-// next begins another head.
-func (s *scanner) next() { *s = scanner{line: s.line[:0], fault: s.fault} }
+// reset prepares the scanner for the next head.
+func (s *scanner) reset() { *s = scanner{linePrefix: s.linePrefix[:0], fault: s.fault} }
