--- a/entry/control/watch.go
+++ b/entry/control/watch.go
@@ -279,7 +279,7 @@
 // from a stale response is not confirmed by a quorum, since this host accepts
 // no callers before that.
 func (w *Watch) pollWait() time.Duration {
-	if w.table.Current().Number() > 0 && !w.table.Learned() {
+	if w.table.Current().Number() > 0 && !w.table.Confirmed() {
 		return unconfirmedPollWait
 	}
 	return longPollWait
--- a/entry/discovery/address.go
+++ b/entry/discovery/address.go
@@ -32,7 +32,7 @@
 func (h *handler) addresses(c *gin.Context) {
 	service := c.Param("service")
 	inForce := h.cfg.Table.Current()
-	if !h.cfg.Table.Learned() {
+	if !h.cfg.Table.Confirmed() {
 		abort(c, NotReady, "this host has not learned the rules in force yet")
 		return
 	}
--- a/entry/peer/node.go
+++ b/entry/peer/node.go
@@ -137,7 +137,7 @@
 			changes = append(changes, registry.Announced(n.core.Instance(id)))
 			continue
 		}
-		changes = append(changes, registry.Lost(id))
+		changes = append(changes, registry.Removed(id))
 	}
 	n.cfg.Registry.Update(changes)
 }
--- a/entry/registry/membership.go
+++ b/entry/registry/membership.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		if one.GetGone() {
-			changes = append(changes, Lost(one.GetId()))
+			changes = append(changes, Removed(one.GetId()))
 			continue
 		}
 		changes = append(changes, Announced(one))
