--- a/entry/discovery/address.go
+++ b/entry/discovery/address.go
@@ -32,7 +32,7 @@
 func (p *platform) addresses(c *gin.Context) {
 	service := c.Param("service")
 	inForce := p.parts.Table.Current()
-	if !p.parts.Table.Learned() {
+	if !p.parts.Table.Confirmed() {
 		refuse(c, NotReady, "this host has not learned the rules in force yet")
 		return
 	}
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -82,7 +82,7 @@
 
 // Ready reports whether this host takes callers.
 func (s *State) Ready() bool {
-	return s.bound.Load() && !s.draining.Load() && s.table.Learned()
+	return s.bound.Load() && !s.draining.Load() && s.table.Confirmed()
 }
 
 // Name returns "starting", "ready", "draining" or "left".
@@ -195,8 +195,8 @@
 }
 
 func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *doors) {
-	service := operator.New(operator.Parts{
-		Host: cfg.Host.Name, Table: table, Views: views, Book: book, Decisions: decisions,
+	service := operator.New(operator.Config{
+		Host: cfg.Host.Name, Table: table, Views: views, Backlog: book, Decisions: decisions,
 		Report: state.Report, Drain: state.draining.Store, Logger: logger,
 	})
 	mux := http.NewServeMux()
--- a/entry/host/membership.go
+++ b/entry/host/membership.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	suspects.SetBroadcast(node.ShareSuspects)
+	suspects.SetBroadcast(node.BroadcastSuspects)
 	return node, nil
 }
 
