--- a/entry/host/backlog.go
+++ b/entry/host/backlog.go
@@ -15,7 +15,7 @@
 func runBacklog(lc fx.Lifecycle, book *backlog.Tracker, table *rules.Table, views *route.Views, logger hclog.Logger) {
 	ctx, cancel := context.WithCancel(context.Background())
 	watch := backlog.NewMonitor(book, func(service string) backlog.AlarmConfig {
-		return backlogTerms(service, table.Current(), views.Load(service))
+		return alarmConfig(service, table.Current(), views.Load(service))
 	}, logger)
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -29,8 +29,8 @@
 	})
 }
 
-// backlogTerms tells whose a service's backlog is and what it is held against.
-func backlogTerms(service string, inForce *rules.InForce, view *route.View) backlog.AlarmConfig {
+// alarmConfig tells whose a service's backlog is and what it is held against.
+func alarmConfig(service string, inForce *rules.InForce, view *route.View) backlog.AlarmConfig {
 	terms := inForce.Set().Terms(service)
 	found := backlog.AlarmConfig{
 		Owner:  terms.Owner(),
--- a/entry/host/callers.go
+++ b/entry/host/callers.go
@@ -31,8 +31,8 @@
 	return poison.NewTracker(poison.WithLossLimit(cfg.Poison.Losses), poison.WithRefusalPeriod(seconds(cfg.Poison.RefusalSeconds)))
 }
 
-// callerParts are what the handler of callers is composed from.
-type callerParts struct {
+// callerDeps are what the handler of callers is composed from.
+type callerDeps struct {
 	fx.In
 
 	Config    *settings.Settings
@@ -40,21 +40,21 @@
 	State     *State
 	Table     *rules.Table
 	Router    *route.Router
-	Links     *upstream.Pool
+	Pool      *upstream.Pool
 	Claims    *control.Client
 	Settler   *control.Settler
 	Suspects  *poison.Tracker
-	Book      *backlog.Tracker
+	Backlog   *backlog.Tracker
 	Decisions *decision.Log
 	Watch     *control.Watch
 	Options   options
 }
 
-func (p *callerParts) handler() *caller.Handler {
+func (p *callerDeps) handler() *caller.Handler {
 	limits := p.Config.Limits
 	return caller.New(caller.Config{
-		Host: p.Config.Host.Name, Zone: p.Config.Host.Zone, Table: p.Table, Router: p.Router, Pool: p.Links,
-		Claims: p.Claims, Settler: p.Settler, Suspects: p.Suspects, Budget: p.Router, Backlog: p.Book, Decisions: p.Decisions,
+		Host: p.Config.Host.Name, Zone: p.Config.Host.Zone, Table: p.Table, Router: p.Router, Pool: p.Pool,
+		Claims: p.Claims, Settler: p.Settler, Suspects: p.Suspects, Budget: p.Router, Backlog: p.Backlog, Decisions: p.Decisions,
 		Stopping: &p.State.draining, Logger: p.Logger.Named("caller"),
 		Dialect: p.Options.dialect,
 		Limits: caller.Limits{
@@ -64,7 +64,7 @@
 	})
 }
 
-func runCallers(lc fx.Lifecycle, parts callerParts) {
+func runCallers(lc fx.Lifecycle, parts callerDeps) {
 	cfg, logger, state := parts.Config, parts.Logger, parts.State
 	server := &http.Server{
 		Handler: parts.handler(), MaxHeaderBytes: cfg.Limits.HeaderBytes,
@@ -78,16 +78,16 @@
 				return errors.Wrap(err, "listen for callers")
 			}
 			serve(server, caller.LimitListener(listener, cfg.Limits.Links, cfg.Limits.LinksPerCaller), "callers", logger)
-			go parts.Links.Run(ctx)
+			go parts.Pool.Run(ctx)
 			state.bound.Store(true)
 			logger.Info("entry host started", "host", cfg.Host.Name, "callers", cfg.Listen.Callers)
 			return nil
 		},
 		OnStop: func(stopCtx context.Context) error {
 			defer cancel()
-			drain(stopCtx, state, parts.Settler, stopDoors{
-				report: parts.Watch.Report,
-				refuse: func(ctx context.Context) { _ = server.Shutdown(ctx) }, // its error is that of the stop below
+			drain(stopCtx, state, parts.Settler, drainHooks{
+				report:        parts.Watch.Report,
+				closeListener: func(ctx context.Context) { _ = server.Shutdown(ctx) }, // its error is that of the stop below
 			}, logger)
 			return server.Shutdown(stopCtx)
 		},
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -38,7 +38,7 @@
 	"go.uber.org/fx/fxevent"
 )
 
-const callTimeout = 10 * time.Second
+const controlTimeout = 10 * time.Second
 
 // New returns the application of one entry host.
 func New(cfg *settings.Settings, logger hclog.Logger, opts ...Option) *fx.App {
@@ -56,9 +56,9 @@
 			registry.New, registry.NewMembership,
 			rules.NewTable, placement.NewRates, backlog.NewTracker, decision.NewLog,
 			newControlHosts, newPool, newSettler, newSuspects,
-			newClient, newState, newWatch, newNode, newScout, newRouter, newDoors, newExporter,
+			newClient, newState, newWatch, newNode, newProber, newRouter, newKeyRings, newExporter,
 		),
-		fx.Invoke(runMembership(cfg)...),
+		fx.Invoke(membershipRunners(cfg)...),
 		fx.Invoke(runBackground, runBacklog, runPeers, runListeners, runProbes, runReload, runCallers),
 		fx.StopTimeout(stopLimit(cfg)),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
@@ -69,7 +69,7 @@
 type State struct {
 	cfg      *settings.Settings
 	table    *rules.Table
-	book     *backlog.Tracker
+	requests *backlog.Tracker
 	suspects *poison.Tracker
 	draining atomic.Bool
 	left     atomic.Bool // stopped as planned
@@ -77,7 +77,7 @@
 }
 
 func newState(cfg *settings.Settings, table *rules.Table, book *backlog.Tracker, suspects *poison.Tracker) *State {
-	return &State{cfg: cfg, table: table, book: book, suspects: suspects}
+	return &State{cfg: cfg, table: table, requests: book, suspects: suspects}
 }
 
 // Ready reports whether this host takes callers.
@@ -102,19 +102,19 @@
 // Report describes this host.
 func (s *State) Report() *wire.HostReport {
 	now := time.Now()
-	inFlight, _ := s.book.InFlight(now)
+	inFlight, _ := s.requests.InFlight(now)
 	return &wire.HostReport{
 		Name: s.cfg.Host.Name, Zone: s.cfg.Host.Zone, Role: "entry", State: s.Name(),
 		CallersAddress: s.cfg.Listen.Callers, PeersAddress: s.cfg.Listen.Peers, PlatformAddress: s.cfg.Listen.Platform,
-		Version: s.table.Current().Number(), ReportedAt: now.UnixNano(), Backlog: s.book.Services(now),
+		Version: s.table.Current().Number(), ReportedAt: now.UnixNano(), Backlog: s.requests.Services(now),
 		VersionConfirmedAt: s.table.ConfirmedNano(), InFlight: uint32(inFlight), Suspects: s.suspects.Suspects(), RateCapacity: s.cfg.Host.RateCapacity(), ByteCapacity: s.cfg.Host.ByteCapacity(),
 	}
 }
 
-// runMembership returns what learns hosts and instances: the protocol between
+// membershipRunners returns what learns hosts and instances: the protocol between
 // entry hosts, with the listeners that answer callers and instances from it.
 // Where control hosts do all that, nothing is run beside the watch.
-func runMembership(cfg *settings.Settings) []any {
+func membershipRunners(cfg *settings.Settings) []any {
 	if cfg.Peers.Membership == settings.MembershipControl {
 		return nil
 	}
@@ -122,7 +122,7 @@
 }
 
 func newClient(cfg *settings.Settings, ring *key.Ring) (*control.Client, *http.Client) {
-	client := ring.Client(&http.Client{Timeout: callTimeout, Transport: link.Transport()})
+	client := ring.Client(&http.Client{Timeout: controlTimeout, Transport: link.Transport()})
 	return control.NewClient(cfg.Control.Addresses(), client), client
 }
 
@@ -138,14 +138,14 @@
 	return route.ByName(name)
 }
 
-func newRouter(cfg *settings.Settings, rates *placement.Rates, views *route.Views, policy route.Policy, table *rules.Table, node *peer.Node, members *registry.Membership, scout *scout) *route.Router {
+func newRouter(cfg *settings.Settings, rates *placement.Rates, views *route.Views, policy route.Policy, table *rules.Table, node *peer.Node, members *registry.Membership, scout *prober) *route.Router {
 	where := &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries}
 	share := where.share
 	if cfg.Peers.Membership == settings.MembershipControl {
 		share = func(string) float64 { return 1 / float64(members.ActiveHosts()) }
 	}
 	return route.NewRouter(views, policy,
-		route.WithShare(share), route.WithHost(cfg.Host.Name), scout.option(cfg),
+		route.WithShare(share), route.WithHost(cfg.Host.Name), scout.routeOption(cfg),
 		route.WithLimits(route.Limits{
 			QueueLength: cfg.Route.QueueLength, MaxWait: seconds(cfg.Route.QueueSeconds),
 			MaxBypass: cfg.Route.Bypass, MaxEjected: cfg.Route.MaxEjected,
@@ -179,7 +179,7 @@
 	})
 }
 
-func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, doors *doors, exporter *prometheus.Exporter) {
+func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, doors *keyRings, exporter *prometheus.Exporter) {
 	handler := discovery.New(discovery.Parts{
 		Host: cfg.Host.Name, Table: table, Members: node, Entries: node.Entries,
 		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: doors.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.Of,
@@ -194,7 +194,7 @@
 	})
 }
 
-func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *doors) {
+func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *keyRings) {
 	service := operator.New(operator.Config{
 		Host: cfg.Host.Name, Table: table, Views: views, Backlog: book, Decisions: decisions,
 		Report: state.Report, Drain: state.draining.Store, Logger: logger,
--- a/entry/host/doors.go
+++ b/entry/host/keys.go
@@ -7,19 +7,19 @@
 	"github.com/snipebeam/snipebeam/world/key"
 )
 
-// doors holds the keys of those who are not hosts of the system.
-type doors struct {
+// keyRings holds the keys of those who are not hosts of the system.
+type keyRings struct {
 	operators *key.Ring
 	upstreams *key.Ring
 }
 
-func newDoors(cfg *settings.Settings) (*doors, error) {
+func newKeyRings(cfg *settings.Settings) (*keyRings, error) {
 	operators, err := key.Load(cfg.Keys.Operators)
 	if err != nil {
 		return nil, err
 	}
 	upstreams, err := key.Load(cfg.Keys.Upstreams)
-	return &doors{operators: operators, upstreams: upstreams}, err
+	return &keyRings{operators: operators, upstreams: upstreams}, err
 }
 
 // stopLimit returns how long a planned stop may take.
--- a/entry/host/listener.go
+++ b/entry/host/listener.go
@@ -43,8 +43,8 @@
 	return func(o *options) { o.reload = reload }
 }
 
-// told adds to a report what an answer to a probe tells.
-func (o options) told(report *route.ProbeReport, h http.Header) {
+// addLoad adds to a report what an answer to a probe tells.
+func (o options) addLoad(report *route.ProbeReport, h http.Header) {
 	if o.dialect == nil {
 		return
 	}
--- a/entry/host/probe.go
+++ b/entry/host/probeloop.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	probeTick   = 20 * time.Millisecond // how often instances are looked at
-	probeWindow = time.Second           // over which the budget of probes holds
+	probeInterval = 20 * time.Millisecond // how often instances are looked at
+	probeWindow   = time.Second           // over which the budget of probes holds
 )
 
-// prober asks instances for their load where no answer told of it lately.
-type prober struct {
+// probeLoop asks instances for their load where no answer told of it lately.
+type probeLoop struct {
 	planner *probe.Planner
-	scout   *scout
+	prober  *prober
 	router  *route.Router
 	cfg     *settings.Settings
 }
 
-func runProbes(lc fx.Lifecycle, cfg *settings.Settings, views *route.Views, table *rules.Table, scout *scout, router *route.Router) {
+func runProbes(lc fx.Lifecycle, cfg *settings.Settings, views *route.Views, table *rules.Table, scout *prober, router *route.Router) {
 	if cfg.Probe.StaleMs == 0 {
 		return
 	}
 	terms := func(service string) *contract.Service { return table.Current().Set().Terms(service) }
-	p := &prober{scout: scout, router: router, cfg: cfg}
+	p := &probeLoop{prober: scout, router: router, cfg: cfg}
 	p.planner = probe.NewPlanner(probe.Config{
 		Hosts: cfg.Probe.Hosts, Window: probeWindow, MaxDuration: milliseconds(cfg.Probe.MostMs), StaleAfter: milliseconds(cfg.Probe.StaleMs), MinRate: cfg.Probe.LeastRate,
 	}, views, terms, time.Now().UnixNano())
@@ -41,19 +41,19 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func (p *prober) run(ctx context.Context) {
-	for pause.For(ctx, probeTick) {
+func (p *probeLoop) run(ctx context.Context) {
+	for pause.For(ctx, probeInterval) {
 		for _, target := range p.planner.Due(time.Now().UnixNano()) {
-			go p.ask(target)
+			go p.probe(target)
 		}
 	}
 }
 
-// ask probes one instance. The reservation is settled by the time that the
+// probe probes one instance. The reservation is settled by the time that the
 // instance may have worked, which is at most what was set aside.
-func (p *prober) ask(target probe.Target) {
+func (p *probeLoop) probe(target probe.Target) {
 	started := time.Now()
-	report := p.scout.ask(target.Member)
+	report := p.prober.probe(target.Member)
 	target.Reservation.Settle(min(time.Since(started), milliseconds(p.cfg.Probe.MostMs)))
 	p.router.RecordProbe(target.Member, report)
 }
--- a/entry/host/scout.go
+++ b/entry/host/prober.go
@@ -19,39 +19,39 @@
 	probesFailed = metrics.GetOrCreateCounter("snipebeam_probes_failed_total")
 )
 
-// probeLimit is how long an instance may take to tell its load before it counts
+// probeTimeout is how long an instance may take to tell its load before it counts
 // as not answering.
-const probeLimit = 400 * time.Millisecond
+const probeTimeout = 400 * time.Millisecond
 
-// scout asks instances for their load.
-type scout struct {
-	table  *rules.Table
-	links  *upstream.Pool
-	o      options
-	logger hclog.Logger
+// prober asks instances for their load.
+type prober struct {
+	table   *rules.Table
+	pool    *upstream.Pool
+	options options
+	logger  hclog.Logger
 }
 
-func newScout(table *rules.Table, links *upstream.Pool, o options, logger hclog.Logger) *scout {
-	return &scout{table: table, links: links, o: o, logger: logger.Named("probe")}
+func newProber(table *rules.Table, links *upstream.Pool, o options, logger hclog.Logger) *prober {
+	return &prober{table: table, pool: links, options: o, logger: logger.Named("probe")}
 }
 
-// option lets the router ask before it sends a request, unless instances are
+// routeOption lets the router ask before it sends a request, unless instances are
 // asked periodically, which takes the budget of probes, or answers to probes tell
 // no load.
-func (s *scout) option(cfg *settings.Settings) route.Option {
-	if cfg.Probe.StaleMs > 0 || s.o.dialect == nil {
+func (s *prober) routeOption(cfg *settings.Settings) route.Option {
+	if cfg.Probe.StaleMs > 0 || s.options.dialect == nil {
 		return route.WithProbe(nil)
 	}
-	return route.WithProbe(s.ask)
+	return route.WithProbe(s.probe)
 }
 
-// ask asks one instance for its load.
-func (s *scout) ask(m route.Member) route.ProbeReport {
+// probe asks one instance for its load.
+func (s *prober) probe(m route.Member) route.ProbeReport {
 	path := s.table.Current().Set().Terms(m.Instance().Service()).Health()
 	if path == "" {
 		return route.ProbeReport{Answered: true}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	report, err := s.exchange(ctx, m, path)
 	probes.Inc()
@@ -63,13 +63,13 @@
 	return report
 }
 
-func (s *scout) exchange(ctx context.Context, m route.Member, path string) (report route.ProbeReport, err error) {
+func (s *prober) exchange(ctx context.Context, m route.Member, path string) (report route.ProbeReport, err error) {
 	address := m.Instance().Address()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return report, err
 	}
-	exchange, err := s.links.Send(ctx, address, req)
+	exchange, err := s.pool.Send(ctx, address, req)
 	if err != nil {
 		return report, err
 	}
@@ -80,6 +80,6 @@
 	response := exchange.Response()
 	report.Answered = true
 	report.Healthy = response.StatusCode == http.StatusOK
-	s.o.told(&report, response.Header)
+	s.options.addLoad(&report, response.Header)
 	return report, nil
 }
--- a/entry/host/stop.go
+++ b/entry/host/stop.go
@@ -15,20 +15,20 @@
 	stopTimeout      = 100 * 365 * 24 * time.Hour // a planned stop waits for what is in flight
 	drainPoll        = 20 * time.Millisecond
 	progressInterval = 5 * time.Second
-	settleLimit      = 30 * time.Second
+	settleTimeout    = 30 * time.Second
 )
 
-// stopDoors are what a planned stop does to others' ways to this host.
-type stopDoors struct {
-	report func(ctx context.Context) // tells the control hosts that it drains
-	refuse func(ctx context.Context) // takes no further connections
+// drainHooks are what a planned stop does to others' ways to this host.
+type drainHooks struct {
+	report        func(ctx context.Context) // tells the control hosts that it drains
+	closeListener func(ctx context.Context) // takes no further connections
 }
 
 // drain leaves the address answers, keeps accepting until the lifetime of the
 // last answer that any host gave has passed, and then waits for what is in
 // flight, with no more connections taken, and for the claims that are not settled yet. Only the context's end,
 // which a setting may bring about, cuts it short.
-func drain(ctx context.Context, state *State, settler *control.Settler, doors stopDoors, logger hclog.Logger) {
+func drain(ctx context.Context, state *State, settler *control.Settler, doors drainHooks, logger hclog.Logger) {
 	signal.Ignore(syscall.SIGTERM) // a second one must not cut what the first one waits for
 	state.draining.Store(true)
 	go doors.report(ctx) // a control host that does not answer takes no time from the callers
@@ -36,14 +36,14 @@
 	stopLog := logProgress(ctx, state, logger)
 	defer stopLog()
 	pause.For(ctx, seconds(state.cfg.Host.LeaveSeconds))
-	go doors.refuse(ctx)
+	go doors.closeListener(ctx)
 	for {
-		inFlight, _ := state.book.InFlight(time.Now())
+		inFlight, _ := state.requests.InFlight(time.Now())
 		if inFlight == 0 || !pause.For(ctx, drainPoll) {
 			break
 		}
 	}
-	settling, cancel := context.WithTimeout(ctx, settleLimit)
+	settling, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	if left := settler.Wait(settling); left > 0 {
 		logger.Warn("claims left unsettled: their resends will be told unknown", "claims", left)
@@ -52,7 +52,7 @@
 }
 
 func progress(state *State) []any {
-	inFlight, oldest := state.book.InFlight(time.Now())
+	inFlight, oldest := state.requests.InFlight(time.Now())
 	return []any{"inFlight", inFlight, "oldestMs", oldest.Milliseconds()}
 }
 
--- a/entry/host/stop_test.go
+++ b/entry/host/stop_test.go
@@ -17,12 +17,12 @@
 
 func drained(ctx context.Context, t *testing.T, longest time.Duration) time.Duration {
 	state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
-	stay := state.book.Track("aftercare", time.Now())
+	stay := state.requests.Track("aftercare", time.Now())
 	time.AfterFunc(longest, func() { stay.End(false, time.Now()) })
 	started := time.Now()
-	drain(ctx, state, control.NewSettler(nil), stopDoors{
-		report: func(context.Context) { time.Sleep(time.Second) }, // control hosts that do not answer
-		refuse: func(context.Context) { must.Eq(t, seconds(state.cfg.Host.LeaveSeconds), time.Since(started)) },
+	drain(ctx, state, control.NewSettler(nil), drainHooks{
+		report:        func(context.Context) { time.Sleep(time.Second) }, // control hosts that do not answer
+		closeListener: func(context.Context) { must.Eq(t, seconds(state.cfg.Host.LeaveSeconds), time.Since(started)) },
 	}, hclog.NewNullLogger())
 	must.Eq(t, "draining", state.Name())
 	return time.Since(started)
@@ -56,12 +56,12 @@
 func TestNoConnectionIsTakenWhileADrainWaitsForWhatIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
-		stay := state.book.Track("aftercare", time.Now())
+		stay := state.requests.Track("aftercare", time.Now())
 		time.AfterFunc(time.Minute, func() { stay.End(false, time.Now()) })
 		started, refused := time.Now(), make(chan time.Duration, 1)
-		drain(t.Context(), state, control.NewSettler(nil), stopDoors{
-			report: func(context.Context) {},
-			refuse: func(context.Context) { refused <- time.Since(started) },
+		drain(t.Context(), state, control.NewSettler(nil), drainHooks{
+			report:        func(context.Context) {},
+			closeListener: func(context.Context) { refused <- time.Since(started) },
 		}, hclog.NewNullLogger())
 		must.Eq(t, seconds(state.cfg.Host.LeaveSeconds), <-refused)
 		must.GreaterEq(t, time.Minute, time.Since(started))
--- a/entry/operator/explain.go
+++ b/entry/operator/explain.go
@@ -24,13 +24,13 @@
 	for _, one := range req.GetHeaders() {
 		header.Add(one.GetName(), one.GetValue())
 	}
-	inForce := s.parts.Table.Current()
-	response := &wire.ExplainResponse{Version: inForce.Number(), ServedBy: s.parts.Host}
+	inForce := s.cfg.Table.Current()
+	response := &wire.ExplainResponse{Version: inForce.Number(), ServedBy: s.cfg.Host}
 	matched := inForce.Set().Match(target.Hostname(), req.GetMethod(), target.EscapedPath(), header)
 	if matched != nil {
 		response.Rule, response.Who, response.Why = matched.String(), matched.Reason().Who(), matched.Reason().Why()
 	}
-	if view := s.parts.Views.Load(target.Hostname()); view != nil {
+	if view := s.cfg.Views.Load(target.Hostname()); view != nil {
 		response.Candidates = viewLines(view)
 	}
 	return response, nil
@@ -39,7 +39,7 @@
 // explainDecision returns what was known when one of this host's latest
 // decisions was taken.
 func (s *Service) explainDecision(id string) (*wire.ExplainResponse, error) {
-	d := s.parts.Decisions.Find(id)
+	d := s.cfg.Decisions.Find(id)
 	if d == nil {
 		return nil, twirp.NotFoundError("this host does not remember the decision " + id + "; its log file does")
 	}
@@ -47,8 +47,8 @@
 	if err != nil {
 		return nil, twirp.InternalErrorWith(errors.Wrap(err, "encode decision"))
 	}
-	response := &wire.ExplainResponse{DecisionJson: string(text), Version: d.Version, ServedBy: s.parts.Host}
-	inForce := s.parts.Table.Current()
+	response := &wire.ExplainResponse{DecisionJson: string(text), Version: d.Version, ServedBy: s.cfg.Host}
+	inForce := s.cfg.Table.Current()
 	if inForce.Number() != d.Version {
 		return response, nil
 	}
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -35,16 +35,16 @@
 
 // Service implements the Twirp service.
 type Service struct {
-	parts Config
+	cfg Config
 }
 
 // New returns the service of one entry host.
-func New(parts Config) *Service { return &Service{parts: parts} }
+func New(parts Config) *Service { return &Service{cfg: parts} }
 
 // Instances lists the instances as this host sees them.
 func (s *Service) Instances(_ context.Context, req *wire.InstancesRequest) (*wire.InstancesResponse, error) {
-	response := &wire.InstancesResponse{ServedBy: s.parts.Host, AsOf: time.Now().UnixNano()}
-	for name, view := range s.parts.Views.All() {
+	response := &wire.InstancesResponse{ServedBy: s.cfg.Host, AsOf: time.Now().UnixNano()}
+	for name, view := range s.cfg.Views.All() {
 		if req.GetService() == "" || req.GetService() == name {
 			response.Instances = append(response.Instances, viewLines(view)...)
 		}
@@ -80,8 +80,8 @@
 
 // Backlog lists what is waiting and in flight at this host.
 func (s *Service) Backlog(_ context.Context, req *wire.BacklogRequest) (*wire.BacklogResponse, error) {
-	response := &wire.BacklogResponse{ServedBy: s.parts.Host, AsOf: time.Now().UnixNano()}
-	for _, line := range s.parts.Backlog.Services(time.Now()) {
+	response := &wire.BacklogResponse{ServedBy: s.cfg.Host, AsOf: time.Now().UnixNano()}
+	for _, line := range s.cfg.Backlog.Services(time.Now()) {
 		if req.GetService() == "" || req.GetService() == line.GetService() {
 			response.Services = append(response.Services, line)
 		}
@@ -92,20 +92,20 @@
 // HostStatus describes this host.
 func (s *Service) HostStatus(context.Context, *wire.HostStatusRequest) (*wire.HostStatusResponse, error) {
 	return &wire.HostStatusResponse{
-		Report: s.parts.Report(), AsOf: time.Now().UnixNano(), DecisionLinesDropped: s.parts.Decisions.Dropped(),
+		Report: s.cfg.Report(), AsOf: time.Now().UnixNano(), DecisionLinesDropped: s.cfg.Decisions.Dropped(),
 	}, nil
 }
 
 // Drain starts or ends draining this host.
 func (s *Service) Drain(_ context.Context, req *wire.DrainRequest) (*wire.DrainResponse, error) {
-	s.parts.Drain(req.GetDrain())
-	inFlight, oldest := s.parts.Backlog.InFlight(time.Now())
-	return &wire.DrainResponse{State: s.parts.Report().GetState(), InFlight: uint32(inFlight), OldestNs: int64(oldest)}, nil
+	s.cfg.Drain(req.GetDrain())
+	inFlight, oldest := s.cfg.Backlog.InFlight(time.Now())
+	return &wire.DrainResponse{State: s.cfg.Report().GetState(), InFlight: uint32(inFlight), OldestNs: int64(oldest)}, nil
 }
 
 // SetLogLevel changes the log level while the program runs.
 func (s *Service) SetLogLevel(_ context.Context, req *wire.LogLevelRequest) (*wire.LogLevelResponse, error) {
-	if err := logging.SetLevel(s.parts.Logger, req.GetPackage(), req.GetLevel()); err != nil {
+	if err := logging.SetLevel(s.cfg.Logger, req.GetPackage(), req.GetLevel()); err != nil {
 		return nil, twirp.InvalidArgumentError("level", err.Error())
 	}
 	return &wire.LogLevelResponse{Level: req.GetLevel()}, nil
--- a/entry/peer/alternates.go
+++ b/entry/peer/alternates.go
@@ -20,7 +20,7 @@
 			ready = append(ready, host)
 		}
 	}
-	sort.Slice(ready, func(i, j int) bool { return weight(id, ready[i]) > weight(id, ready[j]) })
+	sort.Slice(ready, func(i, j int) bool { return rendezvousWeight(id, ready[i]) > rendezvousWeight(id, ready[j]) })
 	var addresses []string
 	for _, host := range ready[:min(maxAlternates, len(ready))] {
 		addresses = append(addresses, host.GetPlatformAddress())
@@ -28,6 +28,6 @@
 	return addresses
 }
 
-func weight(id string, host *wire.HostReport) uint64 {
+func rendezvousWeight(id string, host *wire.HostReport) uint64 {
 	return xxhash.Sum64String(id + "\x00" + host.GetName())
 }
--- a/entry/peer/fetch.go
+++ b/entry/peer/fetch.go
@@ -11,8 +11,8 @@
 
 // Times of what is done beside the protocol.
 const (
-	pullLimit  = 10 * time.Second
-	checkLimit = 500 * time.Millisecond
+	pullTimeout  = 10 * time.Second
+	checkTimeout = 500 * time.Millisecond
 )
 
 // pull fetches the whole state of another host, one fetch at a time.
@@ -22,7 +22,7 @@
 	}
 	n.work.Go(func() {
 		defer n.pulling.Store(false)
-		ctx, cancel := context.WithTimeout(ctx, pullLimit)
+		ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 		defer cancel()
 		if err := n.pullPages(ctx, address); err != nil {
 			n.logger.Warn("membership not fetched", "from", address, "error", err)
@@ -57,7 +57,7 @@
 	}
 	n.work.Go(func() {
 		defer func() { <-n.checks }()
-		conn, err := (&net.Dialer{Timeout: checkLimit}).DialContext(ctx, "tcp", one.GetAddress())
+		conn, err := (&net.Dialer{Timeout: checkTimeout}).DialContext(ctx, "tcp", one.GetAddress())
 		if err == nil {
 			_ = conn.Close()
 		}
@@ -66,14 +66,14 @@
 }
 
 // Service returns the Twirp service Peer.
-func (n *Node) Service() wire.Peer { return &service{node: n} }
+func (n *Node) Service() wire.Peer { return &twirpService{node: n} }
 
-type service struct {
+type twirpService struct {
 	node *Node
 }
 
 // Announce returns one page of what this host knows.
-func (s *service) Announce(_ context.Context, req *wire.AnnounceRequest) (*wire.AnnounceResponse, error) {
+func (s *twirpService) Announce(_ context.Context, req *wire.AnnounceRequest) (*wire.AnnounceResponse, error) {
 	s.node.mu.Lock()
 	defer s.node.mu.Unlock()
 	hosts, instances, next := s.node.core.RecordsAfter(req.GetAfter())
--- a/entry/peer/suspects.go
+++ b/entry/peer/suspects.go
@@ -11,7 +11,7 @@
 
 // Suspects takes fingerprints of requests that were in flight at lost
 // instances, and returns those that this host knows.
-func (s *service) Suspects(_ context.Context, req *wire.SuspectsRequest) (*wire.SuspectsResponse, error) {
+func (s *twirpService) Suspects(_ context.Context, req *wire.SuspectsRequest) (*wire.SuspectsResponse, error) {
 	book := s.node.cfg.Suspects
 	if book == nil {
 		return &wire.SuspectsResponse{}, nil
--- a/entry/probe/ledger.go
+++ b/entry/probe/limiter.go
@@ -19,23 +19,23 @@
 
 // Limiter holds one host's part of one instance's budget over a sliding window.
 type Limiter struct {
-	share  time.Duration // slot time that this host may use in a window
-	window time.Duration
-	most   time.Duration // time that one probe may take
-	from   int64         // first probe, Unix nanoseconds
+	share       time.Duration // slot time that this host may use in a window
+	window      time.Duration
+	maxDuration time.Duration // time that one probe may take
+	startsAt    int64         // first probe, Unix nanoseconds
 
-	mu      sync.Mutex
-	entries []*Reservation
-	next    int64 // first time of the next probe, so that probes are spread over the window
-	spent   time.Duration
-	used    time.Duration // since the start
+	mu           sync.Mutex
+	reservations []*Reservation
+	nextAt       int64 // first time of the next probe, so that probes are spread over the window
+	reserved     time.Duration
+	used         time.Duration // since the start
 }
 
 // Reservation is the slot time set aside for one probe.
 type Reservation struct {
-	ledger *Limiter
-	cost   time.Duration
-	endsAt int64
+	limiter *Limiter
+	cost    time.Duration
+	endsAt  int64
 }
 
 // LimiterConfig says what all hosts together may spend on one instance.
@@ -57,7 +57,7 @@
 	}
 	return &Limiter{
 		share: time.Duration(perNanosecond * float64(window)), window: window,
-		most: p.MaxDuration, from: startedAt + int64(window),
+		maxDuration: p.MaxDuration, startsAt: startedAt + int64(window),
 	}
 }
 
@@ -70,41 +70,41 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	if now < max(l.from, l.next) || l.most == 0 || l.spent+l.most > l.share {
+	if now < max(l.startsAt, l.nextAt) || l.maxDuration == 0 || l.reserved+l.maxDuration > l.share {
 		return nil
 	}
-	r := &Reservation{ledger: l, cost: l.most, endsAt: now + int64(l.most)}
-	l.spent += r.cost
+	r := &Reservation{limiter: l, cost: l.maxDuration, endsAt: now + int64(l.maxDuration)}
+	l.reserved += r.cost
 	l.used += r.cost
-	l.next = now + l.pause(r.cost)
-	l.entries = append(l.entries, r)
+	l.nextAt = now + l.spacing(r.cost)
+	l.reservations = append(l.reservations, r)
 	return r
 }
 
 // Settle gives back what a probe did not take.
 func (r *Reservation) Settle(took time.Duration) {
-	r.ledger.mu.Lock()
-	defer r.ledger.mu.Unlock()
+	r.limiter.mu.Lock()
+	defer r.limiter.mu.Unlock()
 	unused := max(r.cost-max(took, 0), 0)
 	r.cost -= unused
-	r.ledger.spent -= unused
-	r.ledger.used -= unused
-	r.ledger.next -= r.ledger.pause(unused)
+	r.limiter.reserved -= unused
+	r.limiter.used -= unused
+	r.limiter.nextAt -= r.limiter.spacing(unused)
 }
 
-// pause is the time in which a cost is earned.
-func (l *Limiter) pause(cost time.Duration) int64 {
+// spacing is the time in which a cost is earned.
+func (l *Limiter) spacing(cost time.Duration) int64 {
 	return int64(float64(cost) / float64(l.share) * float64(l.window))
 }
 
 // expire drops the probes that ended more than a window ago.
 func (l *Limiter) expire(now int64) {
 	n := 0
-	for n < len(l.entries) && l.entries[n].endsAt+int64(l.window) <= now {
-		l.spent -= l.entries[n].cost
+	for n < len(l.reservations) && l.reservations[n].endsAt+int64(l.window) <= now {
+		l.reserved -= l.reservations[n].cost
 		n++
 	}
-	l.entries = append(l.entries[:0], l.entries[n:]...)
+	l.reservations = append(l.reservations[:0], l.reservations[n:]...)
 }
 
 // Used returns the slot time spent since the start.
@@ -114,12 +114,12 @@
 	return l.used
 }
 
-// lastEnd returns when the last probe ends at the latest.
-func (l *Limiter) lastEnd() int64 {
+// lastEndsAt returns when the last probe ends at the latest.
+func (l *Limiter) lastEndsAt() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.entries) == 0 {
-		return l.from - int64(l.window)
+	if len(l.reservations) == 0 {
+		return l.startsAt - int64(l.window)
 	}
-	return l.entries[len(l.entries)-1].endsAt
+	return l.reservations[len(l.reservations)-1].endsAt
 }
--- a/entry/probe/planner.go
+++ b/entry/probe/planner.go
@@ -21,24 +21,24 @@
 // Planner says which instances to probe. A host asks only about services that
 // it serves: those that sent it requests of late.
 type Planner struct {
-	settings  Config
+	cfg       Config
 	views     *route.Views
 	terms     func(service string) *contract.Service
 	startedAt int64
 
-	mu         sync.Mutex
-	ledgers    map[instance.ID]*entry
-	usedByGone time.Duration // slot time of instances that are forgotten
+	mu            sync.Mutex
+	limiters      map[instance.ID]*limiterEntry
+	usedByRemoved time.Duration // slot time of instances that are forgotten
 }
 
-type entry struct {
-	ledger *Limiter
-	budget float64
+type limiterEntry struct {
+	limiter *Limiter
+	budget  float64
 }
 
 // NewPlanner returns a planner of a host that started at a time.
 func NewPlanner(s Config, views *route.Views, terms func(service string) *contract.Service, startedAt int64) *Planner {
-	return &Planner{settings: s, views: views, terms: terms, startedAt: startedAt, ledgers: map[instance.ID]*entry{}}
+	return &Planner{cfg: s, views: views, terms: terms, startedAt: startedAt, limiters: map[instance.ID]*limiterEntry{}}
 }
 
 // Target is one instance to probe, with the slot time set aside for it.
@@ -60,7 +60,7 @@
 			if p.fresh(m, now) || m.Instance().Draining() {
 				continue
 			}
-			if r := p.ledger(m.Instance(), budget).Reserve(now); r != nil {
+			if r := p.limiter(m.Instance(), budget).Reserve(now); r != nil {
 				due = append(due, Target{Member: m, Reservation: r})
 			}
 		}
@@ -78,10 +78,10 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, e := range p.ledgers {
-		if !known[id] && e.ledger.lastEnd()+int64(e.ledger.window) <= now {
-			p.usedByGone += e.ledger.Used()
-			delete(p.ledgers, id)
+	for id, e := range p.limiters {
+		if !known[id] && e.limiter.lastEndsAt()+int64(e.limiter.window) <= now {
+			p.usedByRemoved += e.limiter.Used()
+			delete(p.limiters, id)
 		}
 	}
 }
@@ -89,41 +89,41 @@
 // serves reports whether the service's requests come to this host.
 func (p *Planner) serves(view *route.View, now int64) bool {
 	last := view.Stats().LastSuccess()
-	return last != 0 && now-last < int64(p.settings.Window) && view.Stats().Rate(now) >= p.settings.MinRate
+	return last != 0 && now-last < int64(p.cfg.Window) && view.Stats().Rate(now) >= p.cfg.MinRate
 }
 
 // fresh reports whether an answer or a probe told of the instance of late.
 func (p *Planner) fresh(m route.Member, now int64) bool {
 	_, at := m.Load().Reported()
-	return now-max(at, m.Load().LatencyAt()) < int64(p.settings.StaleAfter)
+	return now-max(at, m.Load().LatencyAt()) < int64(p.cfg.StaleAfter)
 }
 
-// ledger returns the instance's ledger. A changed budget starts a new one with
+// limiter returns the instance's ledger. A changed budget starts a new one with
 // a whole window to wait, so that neither the old nor the new is exceeded.
-func (p *Planner) ledger(i *instance.Instance, budget float64) *Limiter {
+func (p *Planner) limiter(i *instance.Instance, budget float64) *Limiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.ledgers[i.ID()]
+	old := p.limiters[i.ID()]
 	if old != nil && old.budget == budget {
-		return old.ledger
+		return old.limiter
 	}
-	plan := LimiterConfig{Budget: budget, Slots: i.Slots(), Hosts: p.settings.Hosts, Window: p.settings.Window, MaxDuration: p.settings.MaxDuration}
+	plan := LimiterConfig{Budget: budget, Slots: i.Slots(), Hosts: p.cfg.Hosts, Window: p.cfg.Window, MaxDuration: p.cfg.MaxDuration}
 	from := p.startedAt
 	if old != nil {
-		from = max(from, old.ledger.lastEnd())
+		from = max(from, old.limiter.lastEndsAt())
 	}
-	next := &entry{ledger: NewLimiter(plan, from), budget: budget}
-	p.ledgers[i.ID()] = next
-	return next.ledger
+	next := &limiterEntry{limiter: NewLimiter(plan, from), budget: budget}
+	p.limiters[i.ID()] = next
+	return next.limiter
 }
 
 // Used returns the slot time that this host's probes took since the start.
 func (p *Planner) Used() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	used := p.usedByGone
-	for _, e := range p.ledgers {
-		used += e.ledger.Used()
+	used := p.usedByRemoved
+	for _, e := range p.limiters {
+		used += e.limiter.Used()
 	}
 	return used
 }
--- a/entry/prometheus/prometheus.go
+++ b/entry/prometheus/prometheus.go
@@ -32,20 +32,20 @@
 
 // Exporter writes metrics.
 type Exporter struct {
-	parts Config
+	cfg Config
 }
 
 // New returns an exporter.
-func New(parts Config) *Exporter { return &Exporter{parts: parts} }
+func New(parts Config) *Exporter { return &Exporter{cfg: parts} }
 
 // Write writes all metrics: this host's, those that packages registered, and
 // those of the process.
 func (e *Exporter) Write(w io.Writer) {
 	e.writeHost(w)
-	for _, line := range e.parts.Backlog.Services(time.Now()) {
+	for _, line := range e.cfg.Backlog.Services(time.Now()) {
 		writeBacklog(w, line)
 	}
-	for _, view := range e.parts.Views.All() {
+	for _, view := range e.cfg.Views.All() {
 		writeInstances(w, view)
 	}
 	metrics.WritePrometheus(w, true)
@@ -53,15 +53,15 @@
 
 func (e *Exporter) writeHost(w io.Writer) {
 	ready := uint64(0)
-	if e.parts.State() == "ready" {
+	if e.cfg.State() == "ready" {
 		ready = 1
 	}
 	metrics.WriteGaugeUint64(w, "snipebeam_host_ready", ready)
-	metrics.WriteGaugeUint64(w, "snipebeam_rules_version", e.parts.Table.Current().Number())
-	if at := e.parts.Table.ConfirmedAt(); !at.IsZero() {
+	metrics.WriteGaugeUint64(w, "snipebeam_rules_version", e.cfg.Table.Current().Number())
+	if at := e.cfg.Table.ConfirmedAt(); !at.IsZero() {
 		metrics.WriteGaugeFloat64(w, "snipebeam_rules_confirmed_timestamp_seconds", float64(at.UnixNano())/float64(time.Second))
 	}
-	metrics.WriteCounterUint64(w, "snipebeam_decision_lines_dropped_total", e.parts.Decisions.Dropped())
+	metrics.WriteCounterUint64(w, "snipebeam_decision_lines_dropped_total", e.cfg.Decisions.Dropped())
 }
 
 func writeBacklog(w io.Writer, line *wire.ServiceBacklog) {
--- a/entry/registry/membership.go
+++ b/entry/registry/membership.go
@@ -15,8 +15,8 @@
 	registry *Registry
 	suspects *poison.Tracker
 
-	mu    sync.Mutex
-	known uint64
+	mu       sync.Mutex
+	revision uint64
 
 	active atomic.Int32
 }
@@ -37,7 +37,7 @@
 func (m *Membership) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.known
+	return m.revision
 }
 
 // Apply takes records up to a revision. Control hosts apply the same log, so
@@ -45,12 +45,12 @@
 func (m *Membership) Apply(instances []*wire.Instance, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if revision <= m.known {
+	if revision <= m.revision {
 		return
 	}
 	changes := make([]Change, 0, len(instances))
 	for _, one := range instances {
-		if one.GetRevision() <= m.known {
+		if one.GetRevision() <= m.revision {
 			continue
 		}
 		if one.GetGone() {
@@ -59,7 +59,7 @@
 		}
 		changes = append(changes, Announced(one))
 	}
-	m.known = revision
+	m.revision = revision
 	m.registry.Update(changes)
 }
 
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -22,13 +22,13 @@
 
 // Change is a new record of one instance.
 type Change struct {
-	id      instance.ID
-	message *wire.Instance // nil: the instance is not to be used
+	id     instance.ID
+	record *wire.Instance // nil: the instance is not to be used
 }
 
 // Announced returns the change to a new record.
 func Announced(message *wire.Instance) Change {
-	return Change{id: instance.ID(message.GetId()), message: message}
+	return Change{id: instance.ID(message.GetId()), record: message}
 }
 
 // Removed returns the change of an instance that is not to be used any more.
@@ -64,17 +64,17 @@
 	defer r.mu.Unlock()
 	concerned := map[string]bool{}
 	for _, change := range changes {
-		r.take(change, concerned)
+		r.apply(change, concerned)
 	}
-	r.forgetRetired()
+	r.pruneRetired()
 	if len(concerned) > 0 {
 		r.publish(concerned)
 	}
 }
 
-func (r *Registry) take(change Change, concerned map[string]bool) {
+func (r *Registry) apply(change Change, concerned map[string]bool) {
 	old, known := r.members[change.id]
-	if change.message == nil {
+	if change.record == nil {
 		if known {
 			concerned[old.Instance().Service()] = true
 			delete(r.members, change.id)
@@ -82,7 +82,7 @@
 		}
 		return
 	}
-	next := instance.FromWire(change.message)
+	next := instance.FromWire(change.record)
 	if known && *old.Instance() == *next {
 		return
 	}
@@ -100,8 +100,8 @@
 	r.members[change.id] = route.NewMember(next, load)
 }
 
-// forgetRetired drops the loads of lost instances once nothing is in flight.
-func (r *Registry) forgetRetired() {
+// pruneRetired drops the loads of lost instances once nothing is in flight.
+func (r *Registry) pruneRetired() {
 	for id, member := range r.retired {
 		if member.Load().InFlight() == 0 {
 			delete(r.retired, id)
--- a/entry/settings/host.go
+++ b/entry/settings/host.go
@@ -32,18 +32,18 @@
 // What a request costs an entry host, as measured on days of high load, and
 // the share of the host that requests may take so that bursts find room.
 const (
-	requestSeconds = 0.0005 // of a core, with its part of the probes
-	coreShare      = 0.6
-	linkShare      = 0.1 // a large body keeps all others on the link waiting
-	bytesOfMegabit = 125_000
+	coreSecondsPerRequest = 0.0005 // of a core, with its part of the probes
+	coreShare             = 0.6
+	linkShare             = 0.1 // a large body keeps all others on the link waiting
+	bytesPerMegabit       = 125_000
 )
 
 // RateCapacity returns the requests a second that this host can take, 0 if its
 // cores are not known.
 func (h Host) RateCapacity() float64 {
-	return h.Cores * coreShare / requestSeconds
+	return h.Cores * coreShare / coreSecondsPerRequest
 }
 
 // ByteCapacity returns the bytes a second of bodies that this host can pass on,
 // 0 if its link is not known.
-func (h Host) ByteCapacity() float64 { return h.LinkMbps * bytesOfMegabit * linkShare }
+func (h Host) ByteCapacity() float64 { return h.LinkMbps * bytesPerMegabit * linkShare }
--- a/entry/settings/peers.go
+++ b/entry/settings/peers.go
@@ -20,17 +20,17 @@
 
 // Bounds of what a host sends to the others.
 const (
-	defaultPeersBytes = 3072
-	minPeersBytes     = 1024
+	defaultPeersBytesPerSecond = 3072
+	minPeersBytesPerSecond     = 1024
 )
 
 func defaultPeers() Peers {
-	return Peers{Membership: MembershipGossip, BytesPerSecond: defaultPeersBytes}
+	return Peers{Membership: MembershipGossip, BytesPerSecond: defaultPeersBytesPerSecond}
 }
 
 func (p Peers) check(c *setting.Checker) {
 	c.OneOf("peers.membership", p.Membership, MembershipGossip, MembershipControl)
-	if p.BytesPerSecond < minPeersBytes {
-		c.Fail("peers.bytesPerSecond", fmt.Sprintf("is %d", p.BytesPerSecond), fmt.Sprintf("set at least %d", minPeersBytes))
+	if p.BytesPerSecond < minPeersBytesPerSecond {
+		c.Fail("peers.bytesPerSecond", fmt.Sprintf("is %d", p.BytesPerSecond), fmt.Sprintf("set at least %d", minPeersBytesPerSecond))
 	}
 }
