--- a/entry/flags.go
+++ b/entry/flags.go
@@ -2,10 +2,10 @@
 
 import "github.com/snipebeam/snipebeam/world/program"
 
-// source says where an entry host's settings come from.
+// source holds the default settings file and the prefix of environment variables.
 var source = program.Source{Default: "entry.toml", Environment: "SNIPEBEAM_ENTRY"}
 
-// settingFlags go before the settings file; each names its key.
+// settingFlags override the settings file. The tag key is the key of the setting.
 type settingFlags struct {
 	Name      *string `name:"name" key:"host.name" help:"Unique name of this host."`
 	Zone      *string `name:"zone" key:"host.zone" help:"Availability zone."`
--- a/entry/host/backlog.go
+++ b/entry/host/backlog.go
@@ -11,15 +11,15 @@
 	"go.uber.org/fx"
 )
 
-// runBacklog watches the backlog of every service of this host.
-func runBacklog(lc fx.Lifecycle, book *backlog.Tracker, table *rules.Table, views *route.Views, logger hclog.Logger) {
+// runBacklog monitors the backlog of every service on this host.
+func runBacklog(lc fx.Lifecycle, tracker *backlog.Tracker, table *rules.Table, views *route.Views, logger hclog.Logger) {
 	ctx, cancel := context.WithCancel(context.Background())
-	watch := backlog.NewMonitor(book, func(service string) backlog.AlarmConfig {
+	monitor := backlog.NewMonitor(tracker, func(service string) backlog.AlarmConfig {
 		return alarmConfig(service, table.Current(), views.Load(service))
 	}, logger)
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			go watch.Run(ctx)
+			go monitor.Run(ctx)
 			return nil
 		},
 		OnStop: func(context.Context) error {
@@ -29,25 +29,26 @@
 	})
 }
 
-// alarmConfig tells whose a service's backlog is and what it is held against.
+// alarmConfig returns the owner of a service and the limits of its backlog, from
+// the rules in force and the slots of the instances in the view.
 func alarmConfig(service string, inForce *rules.InForce, view *route.View) backlog.AlarmConfig {
 	terms := inForce.Set().Terms(service)
-	found := backlog.AlarmConfig{
+	cfg := backlog.AlarmConfig{
 		Owner:  terms.Owner(),
 		Limits: backlog.Limits{Count: terms.BacklogCount(), Age: terms.BacklogAge()},
 		Slots:  func(instance.ID) int { return instance.DefaultSlots },
 	}
-	if line := inForce.Set().Service(service); line != nil {
-		found.Reason = line.Reason().Why()
+	if declared := inForce.Set().Service(service); declared != nil {
+		cfg.Reason = declared.Reason().Why()
 	}
 	if view == nil {
-		return found
+		return cfg
 	}
 	for _, m := range view.Members() {
-		found.Limits.Slots += m.Instance().Slots()
+		cfg.Limits.Slots += m.Instance().Slots()
 	}
-	found.Slots = func(id instance.ID) int { return slotsOf(view, id) }
-	return found
+	cfg.Slots = func(id instance.ID) int { return slotsOf(view, id) }
+	return cfg
 }
 
 func slotsOf(view *route.View, id instance.ID) int {
--- a/entry/host/callers.go
+++ b/entry/host/callers.go
@@ -31,7 +31,7 @@
 	return poison.NewTracker(poison.WithLossLimit(cfg.Poison.Losses), poison.WithRefusalPeriod(seconds(cfg.Poison.RefusalSeconds)))
 }
 
-// callerDeps are what the handler of callers is composed from.
+// callerDeps holds the dependencies of the handler of caller requests.
 type callerDeps struct {
 	fx.In
 
@@ -50,13 +50,13 @@
 	Options   options
 }
 
-func (p *callerDeps) handler() *caller.Handler {
-	limits := p.Config.Limits
+func (d *callerDeps) handler() *caller.Handler {
+	limits := d.Config.Limits
 	return caller.New(caller.Config{
-		Host: p.Config.Host.Name, Zone: p.Config.Host.Zone, Table: p.Table, Router: p.Router, Pool: p.Pool,
-		Claims: p.Claims, Settler: p.Settler, Suspects: p.Suspects, Budget: p.Router, Backlog: p.Backlog, Decisions: p.Decisions,
-		Stopping: &p.State.draining, Logger: p.Logger.Named("caller"),
-		Dialect: p.Options.dialect,
+		Host: d.Config.Host.Name, Zone: d.Config.Host.Zone, Table: d.Table, Router: d.Router, Pool: d.Pool,
+		Claims: d.Claims, Settler: d.Settler, Suspects: d.Suspects, Budget: d.Router, Backlog: d.Backlog, Decisions: d.Decisions,
+		Stopping: &d.State.draining, Logger: d.Logger.Named("caller"),
+		Dialect: d.Options.dialect,
 		Limits: caller.Limits{
 			BodyBytes: limits.BodyBytes, BufferBytes: limits.BufferBytes, ProgressTimeout: seconds(limits.ProgressSeconds),
 			ProgressBytes: limits.ProgressBytes, InFlight: limits.InFlight,
@@ -64,10 +64,10 @@
 	})
 }
 
-func runCallers(lc fx.Lifecycle, parts callerDeps) {
-	cfg, logger, state := parts.Config, parts.Logger, parts.State
+func runCallers(lc fx.Lifecycle, deps callerDeps) {
+	cfg, logger, state := deps.Config, deps.Logger, deps.State
 	server := &http.Server{
-		Handler: parts.handler(), MaxHeaderBytes: cfg.Limits.HeaderBytes,
+		Handler: deps.handler(), MaxHeaderBytes: cfg.Limits.HeaderBytes,
 		ReadHeaderTimeout: seconds(cfg.Limits.HeaderTimeoutSeconds), IdleTimeout: seconds(cfg.Limits.IdleTimeoutSeconds),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,16 +78,16 @@
 				return errors.Wrap(err, "listen for callers")
 			}
 			serve(server, caller.LimitListener(listener, cfg.Limits.Links, cfg.Limits.LinksPerCaller), "callers", logger)
-			go parts.Pool.Run(ctx)
+			go deps.Pool.Run(ctx)
 			state.bound.Store(true)
 			logger.Info("entry host started", "host", cfg.Host.Name, "callers", cfg.Listen.Callers)
 			return nil
 		},
 		OnStop: func(stopCtx context.Context) error {
 			defer cancel()
-			drain(stopCtx, state, parts.Settler, drainHooks{
-				report:        parts.Watch.Report,
-				closeListener: func(ctx context.Context) { _ = server.Shutdown(ctx) }, // its error is that of the stop below
+			drain(stopCtx, state, deps.Settler, drainHooks{
+				report:        deps.Watch.Report,
+				closeListener: func(ctx context.Context) { _ = server.Shutdown(ctx) }, // the call below returns the same error
 			}, logger)
 			return server.Shutdown(stopCtx)
 		},
--- a/entry/host/control.go
+++ b/entry/host/control.go
@@ -7,7 +7,8 @@
 	"github.com/snipebeam/snipebeam/entry/settings"
 )
 
-// controlHosts are the addresses of control hosts that the settings name now.
+// controlHosts holds the addresses of the control hosts in the current settings,
+// which a reload may replace.
 type controlHosts struct{ addresses atomic.Pointer[[]string] }
 
 func newControlHosts(cfg *settings.Settings) *controlHosts {
--- a/entry/host/directory.go
+++ b/entry/host/directory.go
@@ -8,20 +8,20 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// directory answers the DNS server from the rules in force and the entry
-// hosts that are known.
+// directory implements dns.Directory on the rules in force and the entry hosts
+// in the current membership.
 type directory struct {
 	zone     string
-	hostRate float64 // requests a second that one entry host takes of a service
+	hostRate float64 // requests per second of one service that one entry host takes
 	rates    *placement.Rates
 	table    *rules.Table
 	entries  func() []*wire.HostReport
 }
 
-// Ready reports whether this host knows the rules in force.
+// Ready reports whether a quorum has confirmed the rules of this host.
 func (d *directory) Ready() bool { return d.table.Confirmed() }
 
-// Service returns the hosts for a service.
+// Service returns the hosts that serve a service, and false if no rule names it.
 func (d *directory) Service(name string) (placement.Answer, bool) {
 	set := d.table.Current().Set()
 	if !set.Knows(name) {
@@ -31,8 +31,8 @@
 	return placement.Choose(d.entries(), name, d.zone, plan), true
 }
 
-// share returns this host's part of a service's limits, which hold for all
-// active hosts together.
+// share returns this host's fraction of a service's limits. The limits are for
+// all active hosts together.
 func (d *directory) share(service string) float64 {
 	if d.hostRate == 0 {
 		return 1
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -1,4 +1,4 @@
-// Package host composes an entry host from its parts with fx.
+// Package host assembles an entry host with fx.
 //
 // Usage:
 //
@@ -38,7 +38,8 @@
 	"go.uber.org/fx/fxevent"
 )
 
-const controlTimeout = 10 * time.Second
+// rpcTimeout bounds one call to a control host or another entry host.
+const rpcTimeout = 10 * time.Second
 
 // New returns the application of one entry host.
 func New(cfg *settings.Settings, logger hclog.Logger, opts ...Option) *fx.App {
@@ -65,22 +66,22 @@
 	)
 }
 
-// State is what this host reports of itself.
+// State is the lifecycle state of this host, with its sources of status reports.
 type State struct {
 	cfg      *settings.Settings
 	table    *rules.Table
 	requests *backlog.Tracker
 	suspects *poison.Tracker
 	draining atomic.Bool
-	left     atomic.Bool // stopped as planned
+	left     atomic.Bool // drained and stopped
 	bound    atomic.Bool // listeners are open
 }
 
-func newState(cfg *settings.Settings, table *rules.Table, book *backlog.Tracker, suspects *poison.Tracker) *State {
-	return &State{cfg: cfg, table: table, requests: book, suspects: suspects}
+func newState(cfg *settings.Settings, table *rules.Table, requests *backlog.Tracker, suspects *poison.Tracker) *State {
+	return &State{cfg: cfg, table: table, requests: requests, suspects: suspects}
 }
 
-// Ready reports whether this host takes callers.
+// Ready reports whether this host serves callers.
 func (s *State) Ready() bool {
 	return s.bound.Load() && !s.draining.Load() && s.table.Confirmed()
 }
@@ -99,7 +100,8 @@
 	}
 }
 
-// Report describes this host.
+// Report returns the status report that this host sends to control hosts and
+// operators.
 func (s *State) Report() *wire.HostReport {
 	now := time.Now()
 	inFlight, _ := s.requests.InFlight(now)
@@ -111,9 +113,10 @@
 	}
 }
 
-// membershipRunners returns what learns hosts and instances: the protocol between
-// entry hosts, with the listeners that answer callers and instances from it.
-// Where control hosts do all that, nothing is run beside the watch.
+// membershipRunners returns the functions that run gossip membership: the protocol
+// between entry hosts, and the platform and DNS listeners that depend on it. It
+// returns none if control hosts keep the membership, because the watch then
+// delivers it.
 func membershipRunners(cfg *settings.Settings) []any {
 	if cfg.Peers.Membership == settings.MembershipControl {
 		return nil
@@ -122,13 +125,14 @@
 }
 
 func newClient(cfg *settings.Settings, ring *key.Ring) (*control.Client, *http.Client) {
-	client := ring.Client(&http.Client{Timeout: controlTimeout, Transport: link.Transport()})
+	client := ring.Client(&http.Client{Timeout: rpcTimeout, Transport: link.Transport()})
 	return control.NewClient(cfg.Control.Addresses(), client), client
 }
 
 func newPolicy(cfg *settings.Settings) route.Policy { return policyNamed(cfg.Route, cfg.Route.Policy) }
 
-// policyNamed returns a policy with this host's settings, or nil.
+// policyNamed returns the policy of that name with this host's settings, or nil if
+// there is none.
 func policyNamed(cfg settings.Route, name string) route.Policy {
 	if name == contract.PolicyAdaptive {
 		return route.NewAdaptive(
@@ -138,14 +142,14 @@
 	return route.ByName(name)
 }
 
-func newRouter(cfg *settings.Settings, rates *placement.Rates, views *route.Views, policy route.Policy, table *rules.Table, node *peer.Node, members *registry.Membership, scout *prober) *route.Router {
-	where := &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries}
-	share := where.share
+func newRouter(cfg *settings.Settings, rates *placement.Rates, views *route.Views, policy route.Policy, table *rules.Table, node *peer.Node, members *registry.Membership, prober *prober) *route.Router {
+	dir := &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries}
+	share := dir.share
 	if cfg.Peers.Membership == settings.MembershipControl {
 		share = func(string) float64 { return 1 / float64(members.ActiveHosts()) }
 	}
 	return route.NewRouter(views, policy,
-		route.WithShare(share), route.WithHost(cfg.Host.Name), scout.routeOption(cfg),
+		route.WithShare(share), route.WithHost(cfg.Host.Name), prober.routeOption(cfg),
 		route.WithLimits(route.Limits{
 			QueueLength: cfg.Route.QueueLength, MaxWait: seconds(cfg.Route.QueueSeconds),
 			MaxBypass: cfg.Route.Bypass, MaxEjected: cfg.Route.MaxEjected,
@@ -156,33 +160,34 @@
 		}))
 }
 
-// runBackground runs the loops that end with the program.
+// runBackground runs the loops that last until the end of the process. The final
+// report says that this host left.
 func runBackground(lc fx.Lifecycle, state *State, watch *control.Watch, decisions *decision.Log) {
 	ctx, cancel := context.WithCancel(context.Background())
-	watched := make(chan struct{})
+	watchDone := make(chan struct{})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go func() {
-				defer close(watched)
+				defer close(watchDone)
 				watch.Run(ctx)
 			}()
 			go decisions.Run(ctx)
 			return nil
 		},
-		OnStop: func(stop context.Context) error {
+		OnStop: func(stopCtx context.Context) error {
 			cancel()
-			<-watched
+			<-watchDone
 			state.left.Store(true)
-			watch.Report(stop)
+			watch.Report(stopCtx)
 			return nil
 		},
 	})
 }
 
-func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, doors *keyRings, exporter *prometheus.Exporter) {
+func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, keys *keyRings, exporter *prometheus.Exporter) {
 	handler := discovery.New(discovery.Parts{
 		Host: cfg.Host.Name, Table: table, Members: node, Entries: node.Entries,
-		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: doors.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.Of,
+		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: keys.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.Of,
 	})
 	server := &http.Server{
 		Handler: handler, MaxHeaderBytes: cfg.Limits.HeaderBytes,
@@ -194,13 +199,13 @@
 	})
 }
 
-func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *keyRings) {
+func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, requests *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, keys *keyRings) {
 	service := operator.New(operator.Config{
-		Host: cfg.Host.Name, Table: table, Views: views, Backlog: book, Decisions: decisions,
+		Host: cfg.Host.Name, Table: table, Views: views, Backlog: requests, Decisions: decisions,
 		Report: state.Report, Drain: state.draining.Store, Logger: logger,
 	})
 	mux := http.NewServeMux()
-	mux.Handle(wire.EntryPathPrefix, doors.operators.Guard(wire.NewEntryServer(service)))
+	mux.Handle(wire.EntryPathPrefix, keys.operators.Guard(wire.NewEntryServer(service)))
 	mux.Handle(wire.PeerPathPrefix, ring.Guard(wire.NewPeerServer(node.Service())))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: seconds(cfg.Limits.HeaderTimeoutSeconds)}
 	lc.Append(fx.Hook{
--- a/entry/host/keys.go
+++ b/entry/host/keys.go
@@ -1,13 +1,11 @@
 package host
 
 import (
-	"time"
-
 	"github.com/snipebeam/snipebeam/entry/settings"
 	"github.com/snipebeam/snipebeam/world/key"
 )
 
-// keyRings holds the keys of those who are not hosts of the system.
+// keyRings holds the keys of clients that are not hosts of the system.
 type keyRings struct {
 	operators *key.Ring
 	upstreams *key.Ring
@@ -21,11 +19,3 @@
 	upstreams, err := key.Load(cfg.Keys.Upstreams)
 	return &keyRings{operators: operators, upstreams: upstreams}, err
 }
-
-// stopLimit returns how long a planned stop may take.
-func stopLimit(cfg *settings.Settings) time.Duration {
-	if cfg.Host.StopLimitSeconds > 0 {
-		return seconds(cfg.Host.StopLimitSeconds)
-	}
-	return stopTimeout
-}
--- a/entry/host/listener.go
+++ b/entry/host/listener.go
@@ -13,14 +13,14 @@
 	"go.uber.org/fx"
 )
 
-// Listener is a further listener of an entry host.
+// Listener is an additional HTTP listener of an entry host.
 type Listener struct {
 	Name    string
 	Address string
 	Handler http.Handler
 }
 
-// Option changes how an entry host is composed.
+// Option changes one property of an entry host.
 type Option func(*options)
 
 type options struct {
@@ -29,51 +29,52 @@
 	reload    func() *settings.Settings
 }
 
-// WithDialect sets how callers and instances say what HTTP does not say.
+// WithDialect sets the header conventions of callers and instances, such as those
+// for deadlines and load reports.
 func WithDialect(d *caller.Dialect) Option { return func(o *options) { o.dialect = d } }
 
-// WithListeners adds listeners that speak another protocol.
+// WithListeners adds listeners for other protocols.
 func WithListeners(listeners func(state *State) []Listener) Option {
 	return func(o *options) { o.listeners = listeners }
 }
 
-// WithReload sets how the settings are read again; nil says that nothing
-// changed.
+// WithReload sets the function that reads the settings again. It returns nil if
+// nothing changed.
 func WithReload(reload func() *settings.Settings) Option {
 	return func(o *options) { o.reload = reload }
 }
 
-// addLoad adds to a report what an answer to a probe tells.
+// addLoad copies the load in the headers of a probe's response to the report.
 func (o options) addLoad(report *route.ProbeReport, h http.Header) {
 	if o.dialect == nil {
 		return
 	}
-	if load, told := o.dialect.Load(h); told {
+	if load, ok := o.dialect.Load(h); ok {
 		report.HasLoad, report.Requests, report.Slowdown = true, load.Requests, load.Speed
 	}
 }
 
 func runListeners(lc fx.Lifecycle, cfg *settings.Settings, o options, state *State, exporter *prometheus.Exporter, logger hclog.Logger) {
-	var all []Listener
+	var listeners []Listener
 	if o.listeners != nil {
-		all = o.listeners(state)
+		listeners = o.listeners(state)
 	}
 	if cfg.Listen.Metrics != "" {
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { exporter.Write(w) })
-		all = append(all, Listener{Name: "metrics", Address: cfg.Listen.Metrics, Handler: mux})
+		listeners = append(listeners, Listener{Name: "metrics", Address: cfg.Listen.Metrics, Handler: mux})
 	}
-	for _, one := range all {
-		server := &http.Server{Handler: one.Handler, ReadHeaderTimeout: seconds(cfg.Limits.HeaderTimeoutSeconds)}
+	for _, l := range listeners {
+		server := &http.Server{Handler: l.Handler, ReadHeaderTimeout: seconds(cfg.Limits.HeaderTimeoutSeconds)}
 		lc.Append(fx.Hook{
-			OnStart: func(context.Context) error { return listen(server, one.Address, one.Name, logger) },
+			OnStart: func(context.Context) error { return listen(server, l.Address, l.Name, logger) },
 			OnStop:  server.Shutdown,
 		})
 	}
 }
 
-// runReload takes the control hosts of changed settings; what else changed
-// takes effect with the next start.
+// runReload applies changed addresses of control hosts. Other changed settings
+// take effect at the next start.
 func runReload(lc fx.Lifecycle, o options, current *controlHosts, logger hclog.Logger) {
 	if o.reload == nil {
 		return
--- a/entry/host/membership.go
+++ b/entry/host/membership.go
@@ -32,8 +32,8 @@
 	return node, nil
 }
 
-// runNode is the first to start and the last to stop, so that the others learn
-// that this host drains, and at the end that it left.
+// runNode must be the first to start and the last to stop, so that the other hosts
+// receive the draining state of this host, and finally that it left.
 func runNode(lc fx.Lifecycle, node *peer.Node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/entry/host/metrics.go
+++ b/entry/host/metrics.go
@@ -8,6 +8,6 @@
 	"github.com/snipebeam/snipebeam/entry/rules"
 )
 
-func newExporter(state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log) *prometheus.Exporter {
-	return prometheus.New(prometheus.Config{Table: table, Views: views, Backlog: book, Decisions: decisions, State: state.Name})
+func newExporter(state *State, table *rules.Table, views *route.Views, requests *backlog.Tracker, decisions *decision.Log) *prometheus.Exporter {
+	return prometheus.New(prometheus.Config{Table: table, Views: views, Backlog: requests, Decisions: decisions, State: state.Name})
 }
--- a/entry/host/probeloop.go
+++ b/entry/host/probeloop.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	probeInterval = 20 * time.Millisecond // how often instances are looked at
-	probeWindow   = time.Second           // over which the budget of probes holds
+	probeInterval = 20 * time.Millisecond // interval of checks for instances that are due
+	probeWindow   = time.Second           // window of the probe budget
 )
 
-// probeLoop asks instances for their load where no answer told of it lately.
+// probeLoop periodically probes instances without a recent load report or
+// response.
 type probeLoop struct {
 	planner *probe.Planner
 	prober  *prober
@@ -26,12 +27,12 @@
 	cfg     *settings.Settings
 }
 
-func runProbes(lc fx.Lifecycle, cfg *settings.Settings, views *route.Views, table *rules.Table, scout *prober, router *route.Router) {
+func runProbes(lc fx.Lifecycle, cfg *settings.Settings, views *route.Views, table *rules.Table, prober *prober, router *route.Router) {
 	if cfg.Probe.StaleMs == 0 {
 		return
 	}
 	terms := func(service string) *contract.Service { return table.Current().Set().Terms(service) }
-	p := &probeLoop{prober: scout, router: router, cfg: cfg}
+	p := &probeLoop{prober: prober, router: router, cfg: cfg}
 	p.planner = probe.NewPlanner(probe.Config{
 		Hosts: cfg.Probe.Hosts, Window: probeWindow, MaxDuration: milliseconds(cfg.Probe.MostMs), StaleAfter: milliseconds(cfg.Probe.StaleMs), MinRate: cfg.Probe.LeastRate,
 	}, views, terms, time.Now().UnixNano())
@@ -49,8 +50,8 @@
 	}
 }
 
-// probe probes one instance. The reservation is settled by the time that the
-// instance may have worked, which is at most what was set aside.
+// probe probes one instance. The reservation is settled with the time that the
+// instance may have spent on the probe, which is at most the reserved time.
 func (p *probeLoop) probe(target probe.Target) {
 	started := time.Now()
 	report := p.prober.probe(target.Member)
--- a/entry/host/prober.go
+++ b/entry/host/prober.go
@@ -19,11 +19,10 @@
 	probesFailed = metrics.GetOrCreateCounter("snipebeam_probes_failed_total")
 )
 
-// probeTimeout is how long an instance may take to tell its load before it counts
-// as not answering.
+// probeTimeout is the time after which an unanswered probe counts as failed.
 const probeTimeout = 400 * time.Millisecond
 
-// prober asks instances for their load.
+// prober requests the load of instances at their health path.
 type prober struct {
 	table   *rules.Table
 	pool    *upstream.Pool
@@ -31,45 +30,45 @@
 	logger  hclog.Logger
 }
 
-func newProber(table *rules.Table, links *upstream.Pool, o options, logger hclog.Logger) *prober {
-	return &prober{table: table, pool: links, options: o, logger: logger.Named("probe")}
+func newProber(table *rules.Table, pool *upstream.Pool, o options, logger hclog.Logger) *prober {
+	return &prober{table: table, pool: pool, options: o, logger: logger.Named("probe")}
 }
 
-// routeOption lets the router ask before it sends a request, unless instances are
-// asked periodically, which takes the budget of probes, or answers to probes tell
-// no load.
-func (s *prober) routeOption(cfg *settings.Settings) route.Option {
-	if cfg.Probe.StaleMs > 0 || s.options.dialect == nil {
+// routeOption lets the router probe instances before it dispatches a request. It
+// disables this if instances are probed periodically, which uses up the probe
+// budget, or if there is no dialect, without which responses carry no load.
+func (p *prober) routeOption(cfg *settings.Settings) route.Option {
+	if cfg.Probe.StaleMs > 0 || p.options.dialect == nil {
 		return route.WithProbe(nil)
 	}
-	return route.WithProbe(s.probe)
+	return route.WithProbe(p.probe)
 }
 
-// probe asks one instance for its load.
-func (s *prober) probe(m route.Member) route.ProbeReport {
-	path := s.table.Current().Set().Terms(m.Instance().Service()).Health()
+// probe requests the load of one instance.
+func (p *prober) probe(m route.Member) route.ProbeReport {
+	path := p.table.Current().Set().Terms(m.Instance().Service()).Health()
 	if path == "" {
 		return route.ProbeReport{Answered: true}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	report, err := s.exchange(ctx, m, path)
+	report, err := p.exchange(ctx, m, path)
 	probes.Inc()
 	if err != nil {
 		probesFailed.Inc()
-		s.logger.Debug("no answer", "instance", string(m.Instance().ID()), "error", err)
+		p.logger.Debug("instance did not answer", "instance", string(m.Instance().ID()), "error", err)
 		return route.ProbeReport{}
 	}
 	return report
 }
 
-func (s *prober) exchange(ctx context.Context, m route.Member, path string) (report route.ProbeReport, err error) {
+func (p *prober) exchange(ctx context.Context, m route.Member, path string) (report route.ProbeReport, err error) {
 	address := m.Instance().Address()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return report, err
 	}
-	exchange, err := s.pool.Send(ctx, address, req)
+	exchange, err := p.pool.Send(ctx, address, req)
 	if err != nil {
 		return report, err
 	}
@@ -80,6 +79,6 @@
 	response := exchange.Response()
 	report.Answered = true
 	report.Healthy = response.StatusCode == http.StatusOK
-	s.options.addLoad(&report, response.Header)
+	p.options.addLoad(&report, response.Header)
 	return report, nil
 }
--- a/entry/host/stop.go
+++ b/entry/host/stop.go
@@ -8,35 +8,44 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/snipebeam/snipebeam/entry/control"
+	"github.com/snipebeam/snipebeam/entry/settings"
 	"github.com/snipebeam/snipebeam/world/pause"
 )
 
 const (
-	stopTimeout      = 100 * 365 * 24 * time.Hour // a planned stop waits for what is in flight
+	stopTimeout      = 100 * 365 * 24 * time.Hour // effectively unlimited: a planned stop waits for all requests in flight
 	drainPoll        = 20 * time.Millisecond
 	progressInterval = 5 * time.Second
 	settleTimeout    = 30 * time.Second
 )
 
-// drainHooks are what a planned stop does to others' ways to this host.
+// stopLimit returns the maximum duration of a planned stop.
+func stopLimit(cfg *settings.Settings) time.Duration {
+	if cfg.Host.StopLimitSeconds > 0 {
+		return seconds(cfg.Host.StopLimitSeconds)
+	}
+	return stopTimeout
+}
+
+// drainHooks are called in the course of a planned stop.
 type drainHooks struct {
-	report        func(ctx context.Context) // tells the control hosts that it drains
-	closeListener func(ctx context.Context) // takes no further connections
+	report        func(ctx context.Context) // reports the draining state to the control hosts
+	closeListener func(ctx context.Context) // stops accepting connections
 }
 
-// drain leaves the address answers, keeps accepting until the lifetime of the
-// last answer that any host gave has passed, and then waits for what is in
-// flight, with no more connections taken, and for the claims that are not settled yet. Only the context's end,
-// which a setting may bring about, cuts it short.
-func drain(ctx context.Context, state *State, settler *control.Settler, doors drainHooks, logger hclog.Logger) {
-	signal.Ignore(syscall.SIGTERM) // a second one must not cut what the first one waits for
+// drain takes this host out of address responses and accepts connections until
+// the TTL of the last response that any host gave has expired. It then accepts no
+// more, and waits for requests in flight and for unsettled claims. Only the end
+// of the context, whose deadline may come from a setting, cuts it short.
+func drain(ctx context.Context, state *State, settler *control.Settler, hooks drainHooks, logger hclog.Logger) {
+	signal.Ignore(syscall.SIGTERM) // a second signal must not cut the drain short
 	state.draining.Store(true)
-	go doors.report(ctx) // a control host that does not answer takes no time from the callers
+	go hooks.report(ctx) // an unresponsive control host must not delay the drain
 	logger.Info("draining", progress(state)...)
 	stopLog := logProgress(ctx, state, logger)
 	defer stopLog()
 	pause.For(ctx, seconds(state.cfg.Host.LeaveSeconds))
-	go doors.closeListener(ctx)
+	go hooks.closeListener(ctx)
 	for {
 		inFlight, _ := state.requests.InFlight(time.Now())
 		if inFlight == 0 || !pause.For(ctx, drainPoll) {
@@ -46,7 +55,7 @@
 	settling, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	if left := settler.Wait(settling); left > 0 {
-		logger.Warn("claims left unsettled: their resends will be told unknown", "claims", left)
+		logger.Warn("claims left unsettled; retried requests will get state unknown", "claims", left)
 	}
 	logger.Info("drained", progress(state)...)
 }
@@ -56,7 +65,7 @@
 	return []any{"inFlight", inFlight, "oldestMs", oldest.Milliseconds()}
 }
 
-// logProgress tells from time to time how much is left, until it is stopped.
+// logProgress periodically logs the requests in flight until stop is called.
 func logProgress(ctx context.Context, state *State, logger hclog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
--- a/entry/host/stop_test.go
+++ b/entry/host/stop_test.go
@@ -15,13 +15,15 @@
 	"github.com/snipebeam/snipebeam/entry/settings"
 )
 
+// drained drains a host with one request that takes the given time, and returns
+// how long the drain took.
 func drained(ctx context.Context, t *testing.T, longest time.Duration) time.Duration {
 	state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
-	stay := state.requests.Track("aftercare", time.Now())
-	time.AfterFunc(longest, func() { stay.End(false, time.Now()) })
+	request := state.requests.Track("aftercare", time.Now())
+	time.AfterFunc(longest, func() { request.End(false, time.Now()) })
 	started := time.Now()
 	drain(ctx, state, control.NewSettler(nil), drainHooks{
-		report:        func(context.Context) { time.Sleep(time.Second) }, // control hosts that do not answer
+		report:        func(context.Context) { time.Sleep(time.Second) }, // unresponsive control hosts
 		closeListener: func(context.Context) { must.Eq(t, seconds(state.cfg.Host.LeaveSeconds), time.Since(started)) },
 	}, hclog.NewNullLogger())
 	must.Eq(t, "draining", state.Name())
@@ -56,8 +58,8 @@
 func TestNoConnectionIsTakenWhileADrainWaitsForWhatIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
-		stay := state.requests.Track("aftercare", time.Now())
-		time.AfterFunc(time.Minute, func() { stay.End(false, time.Now()) })
+		request := state.requests.Track("aftercare", time.Now())
+		time.AfterFunc(time.Minute, func() { request.End(false, time.Now()) })
 		started, refused := time.Now(), make(chan time.Duration, 1)
 		drain(t.Context(), state, control.NewSettler(nil), drainHooks{
 			report:        func(context.Context) {},
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command snipebeam-entry runs one entry host: it tells callers which hosts
-// to use and sends their requests to instances.
+// Command snipebeam-entry runs an entry host. It answers the address queries of
+// callers and forwards their requests to instances.
 package main
 
 import (
--- a/entry/operator/explain.go
+++ b/entry/operator/explain.go
@@ -11,7 +11,8 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Explain says which rule and which instances a request would get.
+// Explain returns the rule that a request matches and the candidate instances, or
+// a recorded decision.
 func (s *Service) Explain(_ context.Context, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
 	if req.GetDecisionId() != "" {
 		return s.explainDecision(req.GetDecisionId())
@@ -21,8 +22,8 @@
 		return nil, twirp.InvalidArgumentError("url", err.Error())
 	}
 	header := http.Header{}
-	for _, one := range req.GetHeaders() {
-		header.Add(one.GetName(), one.GetValue())
+	for _, h := range req.GetHeaders() {
+		header.Add(h.GetName(), h.GetValue())
 	}
 	inForce := s.cfg.Table.Current()
 	response := &wire.ExplainResponse{Version: inForce.Number(), ServedBy: s.cfg.Host}
@@ -36,12 +37,13 @@
 	return response, nil
 }
 
-// explainDecision returns what was known when one of this host's latest
-// decisions was taken.
+// explainDecision returns one of this host's recent decisions with the data it was
+// based on. The rule is included only while the version of the decision is in
+// force.
 func (s *Service) explainDecision(id string) (*wire.ExplainResponse, error) {
 	d := s.cfg.Decisions.Find(id)
 	if d == nil {
-		return nil, twirp.NotFoundError("this host does not remember the decision " + id + "; its log file does")
+		return nil, twirp.NotFoundError("decision " + id + " is not in the memory of this host; see its log file")
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -1,9 +1,9 @@
-// Package operator serves the Twirp service Entry to operators: what this host
-// sees of its instances, its backlog and its own state.
+// Package operator serves the Twirp service Entry to operators: the instances as
+// this host sees them, its backlog and its state.
 //
 // Usage:
 //
-//	service := operator.New(operator.Parts{...})
+//	service := operator.New(operator.Config{...})
 //	mux.Handle(wire.EntryPathPrefix, wire.NewEntryServer(service))
 package operator
 
@@ -21,7 +21,7 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Config are what the service works with.
+// Config holds the dependencies of the service.
 type Config struct {
 	Host      string
 	Table     *rules.Table
@@ -39,7 +39,7 @@
 }
 
 // New returns the service of one entry host.
-func New(parts Config) *Service { return &Service{cfg: parts} }
+func New(cfg Config) *Service { return &Service{cfg: cfg} }
 
 // Instances lists the instances as this host sees them.
 func (s *Service) Instances(_ context.Context, req *wire.InstancesRequest) (*wire.InstancesResponse, error) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Backlog lists what is waiting and in flight at this host.
+// Backlog lists the queued and in-flight requests of each service at this host.
 func (s *Service) Backlog(_ context.Context, req *wire.BacklogRequest) (*wire.BacklogResponse, error) {
 	response := &wire.BacklogResponse{ServedBy: s.cfg.Host, AsOf: time.Now().UnixNano()}
 	for _, line := range s.cfg.Backlog.Services(time.Now()) {
@@ -89,7 +89,7 @@
 	return response, nil
 }
 
-// HostStatus describes this host.
+// HostStatus returns the status report of this host.
 func (s *Service) HostStatus(context.Context, *wire.HostStatusRequest) (*wire.HostStatusResponse, error) {
 	return &wire.HostStatusResponse{
 		Report: s.cfg.Report(), AsOf: time.Now().UnixNano(), DecisionLinesDropped: s.cfg.Decisions.Dropped(),
@@ -103,7 +103,7 @@
 	return &wire.DrainResponse{State: s.cfg.Report().GetState(), InFlight: uint32(inFlight), OldestNs: int64(oldest)}, nil
 }
 
-// SetLogLevel changes the log level while the program runs.
+// SetLogLevel changes the log level of one package or of all at run time.
 func (s *Service) SetLogLevel(_ context.Context, req *wire.LogLevelRequest) (*wire.LogLevelResponse, error) {
 	if err := logging.SetLevel(s.cfg.Logger, req.GetPackage(), req.GetLevel()); err != nil {
 		return nil, twirp.InvalidArgumentError("level", err.Error())
--- a/entry/peer/alternates.go
+++ b/entry/peer/alternates.go
@@ -8,11 +8,12 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxAlternates is how many other hosts an instance is told.
+// maxAlternates bounds the alternate hosts returned to an instance.
 const maxAlternates = 3
 
-// Alternates returns the platform addresses of other hosts that an instance
-// may announce itself to, spread by the instance's id.
+// Alternates returns the platform addresses of other ready hosts that an instance
+// may announce itself to. Rendezvous hashing of the instance's id spreads the
+// instances over the hosts.
 func (n *Node) Alternates(id string) []string {
 	var ready []*wire.HostReport
 	for _, host := range n.Entries() {
--- a/entry/peer/datagram.go
+++ b/entry/peer/datagram.go
@@ -13,7 +13,7 @@
 // datagramOverhead is the size of the IP and UDP headers.
 const datagramOverhead = 28
 
-// send writes one datagram; a lost one is made up for by the protocol.
+// send writes one datagram. The protocol tolerates lost datagrams.
 func (n *Node) send(s gossip.Send) {
 	address, err := netip.ParseAddrPort(s.Address)
 	if err != nil || n.conn == nil {
@@ -22,16 +22,16 @@
 	}
 	data, err := n.codec.Encode(s.Datagram)
 	if err != nil {
-		n.logger.Error("a datagram cannot be encoded", "error", err)
+		n.logger.Error("cannot encode datagram", "error", err)
 		return
 	}
 	sentBytes.Add(len(data) + datagramOverhead)
 	if _, err := n.conn.WriteToUDPAddrPort(data, address); err != nil {
-		n.logger.Debug("datagram not sent", "to", s.Address, "error", err)
+		n.logger.Debug("cannot send datagram", "to", s.Address, "error", err)
 	}
 }
 
-// read takes datagrams until the socket is closed.
+// read receives datagrams until the socket is closed.
 func (n *Node) read() {
 	buffer := make([]byte, gossip.MaxDatagramBytes+1)
 	for {
--- a/entry/peer/fetch.go
+++ b/entry/peer/fetch.go
@@ -9,13 +9,14 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Times of what is done beside the protocol.
+// Timeouts of operations outside the datagram protocol.
 const (
 	pullTimeout  = 10 * time.Second
 	checkTimeout = 500 * time.Millisecond
 )
 
-// pull fetches the whole state of another host, one fetch at a time.
+// pull fetches the full state of another host. It does nothing while another pull
+// is in progress.
 func (n *Node) pull(ctx context.Context, address string) {
 	if !n.pulling.CompareAndSwap(false, true) {
 		return
@@ -25,7 +26,7 @@
 		ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 		defer cancel()
 		if err := n.pullPages(ctx, address); err != nil {
-			n.logger.Warn("membership not fetched", "from", address, "error", err)
+			n.logger.Warn("cannot fetch membership", "from", address, "error", err)
 		}
 	})
 }
@@ -48,20 +49,20 @@
 	}
 }
 
-// check tries to connect to an instance whose owner is lost.
-func (n *Node) check(ctx context.Context, one *wire.Instance) {
+// check probes, by opening a connection, an instance whose owner has failed.
+func (n *Node) check(ctx context.Context, i *wire.Instance) {
 	select {
 	case n.checks <- struct{}{}:
 	default:
-		return // the core asks again
+		return // the core requests the check again
 	}
 	n.work.Go(func() {
 		defer func() { <-n.checks }()
-		conn, err := (&net.Dialer{Timeout: checkTimeout}).DialContext(ctx, "tcp", one.GetAddress())
+		conn, err := (&net.Dialer{Timeout: checkTimeout}).DialContext(ctx, "tcp", i.GetAddress())
 		if err == nil {
 			_ = conn.Close()
 		}
-		n.step(ctx, func(now time.Duration) gossip.Output { return n.core.ReportCheck(now, one, err == nil) })
+		n.step(ctx, func(now time.Duration) gossip.Output { return n.core.ReportCheck(now, i, err == nil) })
 	})
 }
 
@@ -72,7 +73,7 @@
 	node *Node
 }
 
-// Announce returns one page of what this host knows.
+// Announce returns one page of the membership state of this host.
 func (s *twirpService) Announce(_ context.Context, req *wire.AnnounceRequest) (*wire.AnnounceResponse, error) {
 	s.node.mu.Lock()
 	defer s.node.mu.Unlock()
--- a/entry/peer/node.go
+++ b/entry/peer/node.go
@@ -1,6 +1,6 @@
-// Package peer speaks to the other entry hosts. A Node drives the membership
-// protocol over UDP on the port of the peers listener; a host that starts
-// fetches the whole state over Twirp.
+// Package peer communicates with the other entry hosts. A Node drives the
+// membership protocol over UDP on the port of the peers listener. A starting host
+// fetches the full state over Twirp.
 //
 // Usage:
 //
@@ -8,7 +8,7 @@
 //	mux.Handle(wire.PeerPathPrefix, wire.NewPeerServer(node.Service()))
 //	err = node.Listen()
 //	go node.Run(ctx)
-//	err = node.Hear(announcement)
+//	err = node.Announce(announcement)
 package peer
 
 import (
@@ -29,19 +29,19 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Config is what a node works with.
+// Config holds the dependencies of a node.
 type Config struct {
 	Self           *wire.GossipHost // without an epoch
 	Registry       *registry.Registry
-	State          func() string // what this host says of its own state
+	State          func() string // current state of this host
 	Ring           *key.Ring
-	Suspects       *poison.Tracker // nil: none are kept
+	Suspects       *poison.Tracker // nil: suspects are not exchanged
 	Client         *http.Client    // for the other hosts' Twirp services
 	BytesPerSecond int
 	Logger         hclog.Logger
 }
 
-// Node is one host's part of the membership.
+// Node is one host's membership node. It does the I/O for a gossip.Core.
 type Node struct {
 	cfg     Config
 	codec   *gossip.Codec
@@ -50,17 +50,17 @@
 	conn    *net.UDPConn
 	entries atomic.Pointer[[]*wire.HostReport]
 	pulling atomic.Bool
-	checks  chan struct{} // bounds connections that try an instance
+	checks  chan struct{} // semaphore of concurrent instance checks
 	work    sync.WaitGroup
 
 	mu   sync.Mutex
 	core *gossip.Core
 }
 
-// maxChecks is how many instances are tried at the same time.
+// maxChecks bounds the concurrent instance checks.
 const maxChecks = 16
 
-// New returns a node that has not opened its socket.
+// New returns a node. Listen opens its socket.
 func New(cfg Config) (*Node, error) {
 	started := time.Now()
 	cfg.Self.Epoch = uint64(started.UnixNano())
@@ -82,14 +82,14 @@
 func (n *Node) Listen() error {
 	address, err := net.ResolveUDPAddr("udp", n.cfg.Self.GetPeersAddress())
 	if err != nil {
-		return errors.Wrap(err, "read the peers address")
+		return errors.Wrap(err, "resolve peers address")
 	}
 	n.conn, err = net.ListenUDP("udp", address)
-	return errors.Wrap(err, "listen for datagrams of peers")
+	return errors.Wrap(err, "listen for peer datagrams")
 }
 
-// Run drives the protocol until the context ends, and then tells the others
-// that this host leaves.
+// Run drives the protocol until the context is cancelled, and then announces to the
+// others that this host leaves.
 func (n *Node) Run(ctx context.Context) {
 	n.work.Go(n.read)
 	ticker := time.NewTicker(gossip.TickInterval)
@@ -107,7 +107,7 @@
 	n.work.Wait()
 }
 
-// step gives the core one input and does what it asks for.
+// step passes one input to the core and performs its output.
 func (n *Node) step(ctx context.Context, input func(now time.Duration) gossip.Output) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,8 +125,8 @@
 	if out.Pull != "" {
 		n.pull(ctx, out.Pull)
 	}
-	for _, one := range out.Checks {
-		n.check(ctx, one)
+	for _, i := range out.Checks {
+		n.check(ctx, i)
 	}
 }
 
@@ -154,16 +154,16 @@
 	n.entries.Store(&entries)
 }
 
-// Entries returns the entry hosts that count as alive, this one included, in
-// order of names.
+// Entries returns the entry hosts considered alive, including this one, sorted by
+// name.
 func (n *Node) Entries() []*wire.HostReport { return *n.entries.Load() }
 
-// Join introduces hosts that the control hosts named.
+// Join adds seed hosts received from the control hosts.
 func (n *Node) Join(seeds []*wire.GossipHost) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output { return n.core.Join(now, seeds) })
 }
 
-// Announce takes an instance's announcement.
+// Announce applies an instance's announcement.
 func (n *Node) Announce(m *wire.Instance) (err error) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output {
 		var out gossip.Output
@@ -173,8 +173,8 @@
 	return err
 }
 
-// Withdraw takes an instance's word that it leaves; incarnation 0 means the one
-// that is known.
+// Withdraw removes an instance at its own request. Incarnation 0 stands for the
+// current incarnation.
 func (n *Node) Withdraw(id string, incarnation uint64) (err error) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output {
 		var out gossip.Output
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -19,7 +19,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// start runs a node with its Twirp service on one loopback port.
+// start runs a node, with its Twirp service on the same loopback port.
 func start(t *testing.T, name string, keys ...string) (*peer.Node, *registry.Registry, *wire.GossipHost) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -40,9 +40,9 @@
 	return node, reg, self
 }
 
-// eventually waits as long as the test may run.
-func eventually(what func() bool) {
-	for !what() {
+// eventually polls until the condition holds or the test times out.
+func eventually(condition func() bool) {
+	for !condition() {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/entry/peer/suspects.go
+++ b/entry/peer/suspects.go
@@ -9,19 +9,19 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Suspects takes fingerprints of requests that were in flight at lost
-// instances, and returns those that this host knows.
+// Suspects merges fingerprints of requests that were in flight at failed instances,
+// and returns those that this host tracks.
 func (s *twirpService) Suspects(_ context.Context, req *wire.SuspectsRequest) (*wire.SuspectsResponse, error) {
-	book := s.node.cfg.Suspects
-	if book == nil {
+	tracker := s.node.cfg.Suspects
+	if tracker == nil {
 		return &wire.SuspectsResponse{}, nil
 	}
-	book.Merge(req.GetSuspects(), time.Now())
-	return &wire.SuspectsResponse{Suspects: book.Suspects()}, nil
+	tracker.Merge(req.GetSuspects(), time.Now())
+	return &wire.SuspectsResponse{Suspects: tracker.Suspects()}, nil
 }
 
-// BroadcastSuspects sends suspects to every other entry host and waits until all
-// have taken them or the context ends.
+// BroadcastSuspects sends suspects to every other entry host. It returns when all
+// calls have finished or the context is cancelled.
 func (n *Node) BroadcastSuspects(ctx context.Context, suspects []*wire.Suspect) {
 	var group sync.WaitGroup
 	for _, entry := range n.Entries() {
@@ -31,7 +31,7 @@
 		group.Go(func() {
 			remote := wire.NewPeerProtobufClient("http://"+entry.GetPeersAddress(), n.cfg.Client)
 			if _, err := remote.Suspects(ctx, &wire.SuspectsRequest{From: n.cfg.Self.GetName(), Suspects: suspects}); err != nil {
-				n.logger.Warn("suspects not passed on", "to", entry.GetName(), "error", err)
+				n.logger.Warn("cannot send suspects", "to", entry.GetName(), "error", err)
 			}
 		})
 	}
--- a/entry/probe/limiter.go
+++ b/entry/probe/limiter.go
@@ -1,15 +1,19 @@
-// Package probe asks instances for their load when nothing fresh is known of
-// them, under a ceiling that holds for all entry hosts together.
+// Package probe selects the instances to probe for their load because this host has
+// no fresh report or response of them. The probes of all entry hosts together stay
+// within a budget for each instance.
 //
-// Every entry host that may exist has an equal part of an instance's budget,
-// and uses it only after it has run for a whole window. So the sum stays under
-// the budget whichever hosts are cut off, join, leave or restart, without a
-// message between them, as long as no more hosts run than the settings say.
+// Each possible entry host gets an equal share of an instance's budget, and uses it
+// only after it has run for a full window. The sum therefore stays within the budget
+// when hosts are partitioned, join, leave or restart, without coordination between
+// them, as long as no more hosts run than the settings allow.
 //
 // Usage:
 //
-//	ledger := probe.NewLedger(probe.Share(0.01, 3, 29, window), window, limit, startedAt)
-//	if r := ledger.Reserve(now); r != nil { ask; r.Settle(took) }
+//	limiter := probe.NewLimiter(probe.LimiterConfig{Budget: 0.01, Slots: 3, Hosts: 29, ...}, startedAt)
+//	if r := limiter.Reserve(now); r != nil {
+//		// send the probe
+//		r.Settle(elapsed)
+//	}
 package probe
 
 import (
@@ -17,55 +21,56 @@
 	"time"
 )
 
-// Limiter holds one host's part of one instance's budget over a sliding window.
+// Limiter is a sliding-window limiter of the slot time that probes of this host take
+// at one instance.
 type Limiter struct {
-	share       time.Duration // slot time that this host may use in a window
+	share       time.Duration // slot time per window for this host
 	window      time.Duration
-	maxDuration time.Duration // time that one probe may take
-	startsAt    int64         // first probe, Unix nanoseconds
+	maxDuration time.Duration // of one probe
+	startsAt    int64         // earliest first probe, Unix nanoseconds
 
 	mu           sync.Mutex
 	reservations []*Reservation
-	nextAt       int64 // first time of the next probe, so that probes are spread over the window
-	reserved     time.Duration
+	nextAt       int64         // earliest next probe; spreads the probes over the window
+	reserved     time.Duration // by the reservations in the window
 	used         time.Duration // since the start
 }
 
-// Reservation is the slot time set aside for one probe.
+// Reservation is the slot time reserved for one probe.
 type Reservation struct {
 	limiter *Limiter
 	cost    time.Duration
 	endsAt  int64
 }
 
-// LimiterConfig says what all hosts together may spend on one instance.
+// LimiterConfig is the probe budget of one instance, for all hosts together.
 type LimiterConfig struct {
-	Budget      float64       // share of the slot time
+	Budget      float64       // fraction of the slot time
 	Slots       int           // of the instance
-	Hosts       int           // entry hosts that may exist at one time
-	Window      time.Duration // over which the budget holds
-	MaxDuration time.Duration // time that one probe may take
+	Hosts       int           // maximum number of entry hosts at a time
+	Window      time.Duration // of the budget
+	MaxDuration time.Duration // of one probe
 }
 
-// NewLimiter returns the part of one host that started at a time. The window
-// grows until one probe fits into the host's part.
-func NewLimiter(p LimiterConfig, startedAt int64) *Limiter {
-	window := p.Window
-	perNanosecond := p.Budget * float64(p.Slots) / float64(max(p.Hosts, 1))
+// NewLimiter returns a limiter with the share of one host that started at the given
+// time. The window is extended if needed for one probe to fit into the share.
+func NewLimiter(cfg LimiterConfig, startedAt int64) *Limiter {
+	window := cfg.Window
+	perNanosecond := cfg.Budget * float64(cfg.Slots) / float64(max(cfg.Hosts, 1))
 	if perNanosecond > 0 {
-		window = max(window, time.Duration(float64(p.MaxDuration)/perNanosecond)+1)
+		window = max(window, time.Duration(float64(cfg.MaxDuration)/perNanosecond)+1)
 	}
 	return &Limiter{
 		share: time.Duration(perNanosecond * float64(window)), window: window,
-		maxDuration: p.MaxDuration, startsAt: startedAt + int64(window),
+		maxDuration: cfg.MaxDuration, startsAt: startedAt + int64(window),
 	}
 }
 
-// Window returns the window over which the budget holds.
+// Window returns the window of the budget after any extension.
 func (l *Limiter) Window() time.Duration { return l.window }
 
-// Reserve sets aside the time that a probe may take, or returns nil. The probe
-// ends within that time.
+// Reserve reserves the maximum duration of a probe, or returns nil if that exceeds
+// the budget. The probe must end within that time.
 func (l *Limiter) Reserve(now int64) *Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,18 +86,18 @@
 	return r
 }
 
-// Settle gives back what a probe did not take.
-func (r *Reservation) Settle(took time.Duration) {
+// Settle returns the unused part of the reservation to the budget.
+func (r *Reservation) Settle(elapsed time.Duration) {
 	r.limiter.mu.Lock()
 	defer r.limiter.mu.Unlock()
-	unused := max(r.cost-max(took, 0), 0)
+	unused := max(r.cost-max(elapsed, 0), 0)
 	r.cost -= unused
 	r.limiter.reserved -= unused
 	r.limiter.used -= unused
 	r.limiter.nextAt -= r.limiter.spacing(unused)
 }
 
-// spacing is the time in which a cost is earned.
+// spacing returns the time after which the budget covers a cost.
 func (l *Limiter) spacing(cost time.Duration) int64 {
 	return int64(float64(cost) / float64(l.share) * float64(l.window))
 }
@@ -107,14 +112,14 @@
 	l.reservations = append(l.reservations[:0], l.reservations[n:]...)
 }
 
-// Used returns the slot time spent since the start.
+// Used returns the slot time used since the start.
 func (l *Limiter) Used() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.used
 }
 
-// lastEndsAt returns when the last probe ends at the latest.
+// lastEndsAt returns the latest possible end of the last probe.
 func (l *Limiter) lastEndsAt() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/prometheus/prometheus.go
+++ b/entry/prometheus/prometheus.go
@@ -1,10 +1,10 @@
 // Package prometheus writes this host's metrics in the Prometheus text format.
-// Series are bounded: a few for each service that this host serves, three for
-// each instance, and one for each outcome that occurred.
+// The number of series is bounded: a few per service that this host serves, three
+// per instance, and one per outcome that occurred.
 //
 // Usage:
 //
-//	exporter := prometheus.New(prometheus.Parts{...})
+//	exporter := prometheus.New(prometheus.Config{...})
 //	exporter.Write(w)
 package prometheus
 
@@ -21,7 +21,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Config are what the metrics are read from at each scrape.
+// Config holds the sources that are read at each scrape.
 type Config struct {
 	Table     *rules.Table
 	Views     *route.Views
@@ -36,9 +36,9 @@
 }
 
 // New returns an exporter.
-func New(parts Config) *Exporter { return &Exporter{cfg: parts} }
+func New(cfg Config) *Exporter { return &Exporter{cfg: cfg} }
 
-// Write writes all metrics: this host's, those that packages registered, and
+// Write writes all metrics: those of this host, those registered by packages, and
 // those of the process.
 func (e *Exporter) Write(w io.Writer) {
 	e.writeHost(w)
--- a/entry/prometheus/prometheus_test.go
+++ b/entry/prometheus/prometheus_test.go
@@ -21,8 +21,8 @@
 	views := &route.Views{}
 	member := route.NewMember(instance.New("orders-1", "orders", "127.0.0.1:1"), &route.Load{})
 	views.Store(map[string]*route.View{"orders": route.NewView("orders", []route.Member{member})})
-	book := backlog.NewTracker()
-	book.Track("orders", time.Now())
+	requests := backlog.NewTracker()
+	requests.Track("orders", time.Now())
 	for _, service := range []string{"invented-1", "invented-2"} {
 		log.Write(&decision.Decision{Kind: decision.Route, Service: service, Outcome: "not-run", Problem: "unknown-service"})
 	}
@@ -30,7 +30,7 @@
 
 	var out bytes.Buffer
 	prometheus.New(prometheus.Config{
-		Table: rules.NewTable(), Views: views, Backlog: book, Decisions: log, State: func() string { return "ready" },
+		Table: rules.NewTable(), Views: views, Backlog: requests, Decisions: log, State: func() string { return "ready" },
 	}).Write(&out)
 	text := out.String()
 	must.StrNotContains(t, text, "invented")
--- a/entry/registry/membership.go
+++ b/entry/registry/membership.go
@@ -9,8 +9,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Membership feeds a registry with the records of instances that control hosts
-// keep, in the order of their revisions.
+// Membership updates a registry with the instance records of the control hosts, in
+// the order of their revisions.
 type Membership struct {
 	registry *Registry
 	suspects *poison.Tracker
@@ -21,27 +21,27 @@
 	active atomic.Int32
 }
 
-// SetActiveHosts takes the number of entry hosts that serve one name.
+// SetActiveHosts sets the number of entry hosts that serve one name.
 func (m *Membership) SetActiveHosts(hosts int) { m.active.Store(int32(hosts)) }
 
-// ActiveHosts returns the number of entry hosts that serve one name, at least
-// this one.
+// ActiveHosts returns the number of entry hosts that serve one name. It is at least
+// 1, for this host.
 func (m *Membership) ActiveHosts() int { return max(int(m.active.Load()), 1) }
 
-// NewMembership returns a membership that knows no instance.
+// NewMembership returns a membership with no records.
 func NewMembership(registry *Registry, suspects *poison.Tracker) *Membership {
 	return &Membership{registry: registry, suspects: suspects}
 }
 
-// Revision returns the revision of the newest record that was taken.
+// Revision returns the revision up to which records have been applied.
 func (m *Membership) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// Apply takes records up to a revision. Control hosts apply the same log, so
-// what one of them told up to a revision is all that any of them knew.
+// Apply applies records up to a revision. Control hosts apply the same log, so the
+// records that one of them sends up to a revision are complete for all of them.
 func (m *Membership) Apply(instances []*wire.Instance, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,21 +49,22 @@
 		return
 	}
 	changes := make([]Change, 0, len(instances))
-	for _, one := range instances {
-		if one.GetRevision() <= m.revision {
+	for _, record := range instances {
+		if record.GetRevision() <= m.revision {
 			continue
 		}
-		if one.GetGone() {
-			changes = append(changes, Removed(one.GetId()))
+		if record.GetGone() {
+			changes = append(changes, Removed(record.GetId()))
 			continue
 		}
-		changes = append(changes, Announced(one))
+		changes = append(changes, Announced(record))
 	}
 	m.revision = revision
 	m.registry.Update(changes)
 }
 
-// AddSuspects takes fingerprints of requests that cost instances.
+// AddSuspects merges fingerprints of requests that were in flight at failed
+// instances.
 func (m *Membership) AddSuspects(suspects []*wire.Suspect) {
 	if len(suspects) > 0 {
 		m.suspects.Merge(suspects, time.Now())
--- a/entry/registry/membership_test.go
+++ b/entry/registry/membership_test.go
@@ -20,7 +20,7 @@
 	must.Len(t, 2, views.Load("shop").Members())
 	m.Apply([]*wire.Instance{record("a", 3, true)}, 3)
 	must.Len(t, 1, views.Load("shop").Members())
-	m.Apply([]*wire.Instance{record("a", 1, false)}, 2) // of a control host that is behind
+	m.Apply([]*wire.Instance{record("a", 1, false)}, 2) // from a control host that lags behind
 	must.Len(t, 1, views.Load("shop").Members())
 	must.Eq(t, 3, m.Revision())
 }
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -1,12 +1,12 @@
-// Package registry folds what membership learns of instances into the views
-// that requests read. A change rebuilds the view of its service alone; what is
-// known of an instance's load outlives views, changes of address and short
-// silences, and ends with the incarnation.
+// Package registry applies membership changes of instances to the views that
+// requests are routed by. A change rebuilds only the view of its service. The load
+// data of an instance is kept across views, changes of address and short absences,
+// and is discarded with the incarnation.
 //
 // Usage:
 //
 //	reg := registry.New(views)
-//	reg.Update([]registry.Change{registry.Announced(message), registry.Lost("catalogue-2")})
+//	reg.Update([]registry.Change{registry.Announced(message), registry.Removed("catalogue-2")})
 package registry
 
 import (
@@ -20,87 +20,88 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Change is a new record of one instance.
+// Change is a new record or the removal of one instance.
 type Change struct {
 	id     instance.ID
-	record *wire.Instance // nil: the instance is not to be used
+	record *wire.Instance // nil: the instance is removed
 }
 
-// Announced returns the change to a new record.
-func Announced(message *wire.Instance) Change {
-	return Change{id: instance.ID(message.GetId()), record: message}
+// Announced returns the change of an instance to a new record.
+func Announced(record *wire.Instance) Change {
+	return Change{id: instance.ID(record.GetId()), record: record}
 }
 
-// Removed returns the change of an instance that is not to be used any more.
+// Removed returns the removal of an instance.
 func Removed(id string) Change { return Change{id: instance.ID(id)} }
 
-// Registry holds the instances that this host may use.
+// Registry holds the instances available to this host.
 type Registry struct {
 	views *route.Views
 
 	mu      sync.Mutex
 	members map[instance.ID]route.Member
-	retired map[instance.ID]route.Member // lost with requests in flight
+	retired map[instance.ID]route.Member // removed with requests in flight
 }
 
-// New returns a registry that publishes to the views.
+// New returns an empty registry that publishes to views.
 func New(views *route.Views) *Registry {
 	return &Registry{views: views, members: map[instance.ID]route.Member{}, retired: map[instance.ID]route.Member{}}
 }
 
-// Len returns the number of instances that may be used.
+// Len returns the number of available instances.
 func (r *Registry) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.members)
 }
 
-// Update takes changes and publishes the views of the services concerned.
+// Update applies changes and publishes the views of the affected services.
 func (r *Registry) Update(changes []Change) {
 	if len(changes) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	concerned := map[string]bool{}
+	affected := map[string]bool{}
 	for _, change := range changes {
-		r.apply(change, concerned)
+		r.apply(change, affected)
 	}
 	r.pruneRetired()
-	if len(concerned) > 0 {
-		r.publish(concerned)
+	if len(affected) > 0 {
+		r.publish(affected)
 	}
 }
 
-func (r *Registry) apply(change Change, concerned map[string]bool) {
-	old, known := r.members[change.id]
+func (r *Registry) apply(change Change, affected map[string]bool) {
+	old, exists := r.members[change.id]
 	if change.record == nil {
-		if known {
-			concerned[old.Instance().Service()] = true
+		if exists {
+			affected[old.Instance().Service()] = true
 			delete(r.members, change.id)
 			r.retired[change.id] = old
 		}
 		return
 	}
 	next := instance.FromWire(change.record)
-	if known && *old.Instance() == *next {
+	if exists && *old.Instance() == *next {
 		return
 	}
-	if !known {
-		old, known = r.retired[change.id]
+	if !exists {
+		old, exists = r.retired[change.id]
 		delete(r.retired, change.id)
 	} else {
-		concerned[old.Instance().Service()] = true
+		affected[old.Instance().Service()] = true
 	}
 	load := &route.Load{}
-	if known && old.Instance().Incarnation() == next.Incarnation() {
+	if exists && old.Instance().Incarnation() == next.Incarnation() {
 		load = old.Load()
 	}
-	concerned[next.Service()] = true
+	affected[next.Service()] = true
 	r.members[change.id] = route.NewMember(next, load)
 }
 
-// pruneRetired drops the loads of lost instances once nothing is in flight.
+// pruneRetired drops the load data of removed instances that have no requests in
+// flight.
 func (r *Registry) pruneRetired() {
 	for id, member := range r.retired {
 		if member.Load().InFlight() == 0 {
@@ -109,13 +110,13 @@
 	}
 }
 
-func (r *Registry) publish(concerned map[string]bool) {
+func (r *Registry) publish(affected map[string]bool) {
 	views := maps.Clone(r.views.All())
 	if views == nil {
 		views = map[string]*route.View{}
 	}
-	byService := r.group(concerned)
-	for service := range concerned {
+	byService := r.group(affected)
+	for service := range affected {
 		if len(byService[service]) == 0 {
 			delete(views, service)
 			continue
@@ -125,11 +126,11 @@
 	r.views.Store(views)
 }
 
-func (r *Registry) group(concerned map[string]bool) map[string][]route.Member {
+func (r *Registry) group(affected map[string]bool) map[string][]route.Member {
 	byService := map[string][]route.Member{}
 	for _, member := range r.members {
 		service := member.Instance().Service()
-		if concerned[service] {
+		if affected[service] {
 			byService[service] = append(byService[service], member)
 		}
 	}
--- a/entry/rules/rules.go
+++ b/entry/rules/rules.go
@@ -1,4 +1,4 @@
-// Package rules holds the rules file in force on this entry host.
+// Package rules holds the version of the rules file in force on this entry host.
 //
 // Usage:
 //
@@ -28,7 +28,7 @@
 // Number returns the version's number, 0 before the first one.
 func (f *InForce) Number() uint64 { return f.version.GetNumber() }
 
-// Version returns who submitted the version, when and why.
+// Version returns the metadata of the version: author, time and reason.
 func (f *InForce) Version() *wire.Version { return f.version }
 
 // Set returns the parsed rules.
@@ -38,11 +38,11 @@
 func (f *InForce) Text() string { return f.text }
 
 // Table holds the version in force behind an atomic pointer. Its number never
-// goes down.
+// decreases.
 type Table struct {
 	mu          sync.Mutex
 	current     atomic.Pointer[InForce]
-	confirmedAt atomic.Pointer[time.Time] // of a quorum's last word, on this host's running clock
+	confirmedAt atomic.Pointer[time.Time] // last confirmation by a quorum, with this host's monotonic clock
 }
 
 // NewTable returns a table with no rules.
@@ -56,8 +56,8 @@
 // Current returns the version in force.
 func (t *Table) Current() *InForce { return t.current.Load() }
 
-// ConfirmedAt returns when a quorum last confirmed the version in force, the
-// zero time if it never did.
+// ConfirmedAt returns when a quorum last confirmed the version in force, or the
+// zero time if none has.
 func (t *Table) ConfirmedAt() time.Time {
 	if at := t.confirmedAt.Load(); at != nil {
 		return *at
@@ -65,7 +65,7 @@
 	return time.Time{}
 }
 
-// ConfirmedNano returns ConfirmedAt in Unix nanoseconds, 0 if it never was.
+// ConfirmedNano returns ConfirmedAt in Unix nanoseconds, or 0 if it is zero.
 func (t *Table) ConfirmedNano() int64 {
 	if at := t.ConfirmedAt(); !at.IsZero() {
 		return at.UnixNano()
@@ -73,12 +73,12 @@
 	return 0
 }
 
-// Confirmed reports whether a quorum confirmed a version since this host
-// started. Until then the host does not know which version is in force.
+// Confirmed reports whether a quorum has confirmed a version since this host
+// started. Until then it is unknown to this host which version is in force.
 func (t *Table) Confirmed() bool { return t.Current().Number() > 0 && t.confirmedAt.Load() != nil }
 
-// Confirm records that a quorum confirmed a version at a time. A version that
-// is older than the one in force says nothing.
+// Confirm records that a quorum confirmed a version at the given time. It ignores
+// versions older than the one in force, and times before the last confirmation.
 func (t *Table) Confirm(number uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 	set, findings := rule.ReadChange(t.Current().Set(), "rules", text)
 	if err := findings.Err(); err != nil {
-		return false, errors.Wrapf(err, "read version %d", version.GetNumber())
+		return false, errors.Wrapf(err, "parse rules version %d", version.GetNumber())
 	}
 	t.current.Store(&InForce{version: version, set: set, text: text})
 	return true, nil
--- a/entry/settings/control.go
+++ b/entry/settings/control.go
@@ -7,13 +7,14 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Control names the control hosts.
+// Control holds the addresses of the control hosts.
 type Control struct {
 	Hosts []string `toml:"hosts" comment:"addresses of the control hosts' peers listeners"`
 	Port  int      `toml:"port" comment:"port of the control hosts' peers listeners if control.hosts names another, else 0"`
 }
 
-// Addresses returns the addresses of the peers listeners.
+// Addresses returns the addresses of the control hosts' peers listeners, with Port
+// in place of their own if it is set.
 func (h Control) Addresses() []string {
 	var all []string
 	for _, address := range h.Hosts {
@@ -27,7 +28,7 @@
 
 func (h Control) check(c *setting.Checker) {
 	if len(h.Hosts) == 0 {
-		c.Fail("control.hosts", "is empty", "name the addresses of the control hosts, here or with --control")
+		c.Fail("control.hosts", "is empty", "set the addresses of the control hosts, here or with --control")
 	}
 	for _, address := range h.Hosts {
 		c.Address("control.hosts", address, "10.0.0.1:7100")
--- a/entry/settings/host.go
+++ b/entry/settings/host.go
@@ -2,13 +2,13 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// defaultLeaveSeconds is the lifetime of this system's own address answers,
-// and the bound of the membership protocol.
+// defaultLeaveSeconds is the TTL of this system's address responses (5 s) plus the
+// time within which the membership protocol informs the other hosts (2 s).
 const defaultLeaveSeconds = 7
 
 func defaultHost() Host { return Host{LeaveSeconds: defaultLeaveSeconds} }
 
-// Host says what this host is.
+// Host describes this host.
 type Host struct {
 	Name             string  `toml:"name" comment:"unique name of this host"`
 	Zone             string  `toml:"zone" comment:"availability zone"`
@@ -22,28 +22,28 @@
 	c.Given("host.name", h.Name, "name this host, unique among all, here or with --name")
 	c.Positive("host.leaveSeconds", h.LeaveSeconds)
 	if h.Cores < 0 || h.LinkMbps < 0 {
-		c.Fail("host.cores", "or host.linkMbps is negative", "0 means not known")
+		c.Fail("host.cores", "or host.linkMbps is negative", "0 means unknown")
 	}
 	if h.StopLimitSeconds < 0 {
-		c.Fail("host.stopLimitSeconds", "is below 0", "0 means no limit")
+		c.Fail("host.stopLimitSeconds", "is negative", "0 means no limit")
 	}
 }
 
-// What a request costs an entry host, as measured on days of high load, and
-// the share of the host that requests may take so that bursts find room.
+// Cost of a request to an entry host at high load, and the fractions of the host
+// that requests may use, which leave headroom for bursts.
 const (
-	coreSecondsPerRequest = 0.0005 // of a core, with its part of the probes
+	coreSecondsPerRequest = 0.0005 // includes its share of the probes
 	coreShare             = 0.6
-	linkShare             = 0.1 // a large body keeps all others on the link waiting
+	linkShare             = 0.1 // low because a large body delays all others on the network link
 	bytesPerMegabit       = 125_000
 )
 
-// RateCapacity returns the requests a second that this host can take, 0 if its
-// cores are not known.
+// RateCapacity returns the requests per second that this host can take, 0 if the
+// number of cores is unknown.
 func (h Host) RateCapacity() float64 {
 	return h.Cores * coreShare / coreSecondsPerRequest
 }
 
-// ByteCapacity returns the bytes a second of bodies that this host can pass on,
-// 0 if its link is not known.
+// ByteCapacity returns the body bytes per second that this host can forward, 0 if
+// the bandwidth is unknown.
 func (h Host) ByteCapacity() float64 { return h.LinkMbps * bytesPerMegabit * linkShare }
--- a/entry/settings/keys.go
+++ b/entry/settings/keys.go
@@ -2,7 +2,7 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// Keys names key files, each with one or two keys.
+// Keys holds the paths of key files. Each file holds one or two keys.
 type Keys struct {
 	Peers     string `toml:"peers" comment:"keys between the system's hosts"`
 	Operators string `toml:"operators" comment:"keys of the operators' tool"`
--- a/entry/settings/limits.go
+++ b/entry/settings/limits.go
@@ -2,7 +2,7 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// Limits bounds what callers may send.
+// Limits bounds the connections and requests of callers.
 type Limits struct {
 	HeaderBytes          int     `toml:"headerBytes" comment:"largest request line and headers, bytes"`
 	BodyBytes            int64   `toml:"bodyBytes" comment:"largest request body, bytes"`
@@ -34,6 +34,6 @@
 	c.Positive("limits.inFlight", float64(l.InFlight))
 	c.Positive("limits.links", float64(l.Links))
 	if l.LinksPerCaller < 0 {
-		c.Fail("limits.linksPerCaller", "is negative", "0 sets no bound")
+		c.Fail("limits.linksPerCaller", "is negative", "0 means no limit")
 	}
 }
--- a/entry/settings/links.go
+++ b/entry/settings/links.go
@@ -2,7 +2,7 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// Links bounds the links to instances.
+// Links bounds the persistent connections (links) to instances.
 type Links struct {
 	PerInstance     int     `toml:"perInstance" comment:"links that this host opens to one instance; 16 keeps 29 hosts under 500"`
 	IdleSeconds     float64 `toml:"idleSeconds" comment:"time that a link is kept without a request"`
--- a/entry/settings/listen.go
+++ b/entry/settings/listen.go
@@ -31,7 +31,7 @@
 	c.Told("listen.callers", l.Callers)
 	c.Told("listen.platform", l.Platform)
 	c.Told("listen.peers", l.Peers)
-	c.Given("listen.domain", l.Domain, "write it as snipebeam.")
+	c.Given("listen.domain", l.Domain, "for example snipebeam.")
 	c.Guarded("listen.platform", l.Platform, keys.Upstreams != "", l.AllowUnkeyed)
 	c.Guarded("listen.peers", l.Peers, keys.Peers != "" && keys.Operators != "", l.AllowUnkeyed)
 }
--- a/entry/settings/log.go
+++ b/entry/settings/log.go
@@ -5,7 +5,7 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level" comment:"trace, debug, info, warn or error"`
 }
--- a/entry/settings/peers.go
+++ b/entry/settings/peers.go
@@ -6,19 +6,19 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Peers says how this host speaks to the other entry hosts.
+// Peers configures the exchange of membership with the other entry hosts.
 type Peers struct {
 	Membership     string `toml:"membership" comment:"where hosts and instances are learnt: gossip of the entry hosts, or control for the control hosts"`
 	BytesPerSecond int    `toml:"bytesPerSecond" comment:"bound of what this host sends to learn of hosts and instances, bytes a second"`
 }
 
-// Where hosts and instances are learnt.
+// Sources of the membership of hosts and instances.
 const (
 	MembershipGossip  = "gossip"
 	MembershipControl = "control"
 )
 
-// Bounds of what a host sends to the others.
+// Limits of the membership traffic that a host sends.
 const (
 	defaultPeersBytesPerSecond = 3072
 	minPeersBytesPerSecond     = 1024
--- a/entry/settings/probe.go
+++ b/entry/settings/probe.go
@@ -2,7 +2,7 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// Probe says how instances are asked for their load.
+// Probe configures the load probes of instances.
 type Probe struct {
 	StaleMs   int     `toml:"staleMs" comment:"milliseconds after which what an instance told of its load is asked for again, 0 to send no probes"`
 	LeastRate float64 `toml:"leastRate" comment:"answers a second of a service from which this host probes its instances"`
--- a/entry/settings/route.go
+++ b/entry/settings/route.go
@@ -5,10 +5,10 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// maxHeadroom bounds the requests beyond its slots that an instance may have.
+// maxHeadroom is the maximum number of requests in flight beyond an instance's slots.
 const maxHeadroom = 16
 
-// Route says how instances are chosen.
+// Route configures the choice of instances.
 type Route struct {
 	Policy         string  `toml:"policy" comment:"policy for services whose rules name none: adaptive, least, powerOfTwo, peakEWMA, roundRobin, random"`
 	Headroom       int     `toml:"headroom" comment:"requests beyond its slots that an instance may have from this host"`
@@ -35,21 +35,21 @@
 	c.Positive("route.queueSeconds", r.QueueSeconds)
 	c.Positive("route.bypass", float64(r.Bypass))
 	if r.Headroom < 0 || r.Headroom > maxHeadroom {
-		c.Fail("route.headroom", "is not from 0 to 16", "3 suits instances with 3 slots")
+		c.Fail("route.headroom", "is not between 0 and 16", "3 suits instances with 3 slots")
 	}
 	if r.Fill < 0 || r.Fill > 1 {
-		c.Fail("route.fill", "is not from 0 to 1", "0.8 suits instances that slow down when nearly full")
+		c.Fail("route.fill", "is not between 0 and 1", "0.8 suits instances that slow down when nearly full")
 	}
 	if r.LatencyWeight < 0 || r.LatencyWeight > 1 {
-		c.Fail("route.latencyWeight", "is not from 0 to 1", "0 ignores the instances' speed")
+		c.Fail("route.latencyWeight", "is not between 0 and 1", "0 ignores the latency of instances")
 	}
 	if r.ZoneCostMicros < 0 {
-		c.Fail("route.zoneCostMicros", "is negative", "write the time to another zone and back")
+		c.Fail("route.zoneCostMicros", "is negative", "set the round-trip time to another zone")
 	}
 	if r.MaxEjected < 0 || r.MaxEjected >= 1 {
-		c.Fail("route.maxEjected", "is not from 0 to less than 1", "write 0.4")
+		c.Fail("route.maxEjected", "is not at least 0 and below 1", "for example 0.4")
 	}
 	if r.HostRate < 0 {
-		c.Fail("route.hostRate", "is negative", "0 sets no bound")
+		c.Fail("route.hostRate", "is negative", "0 means no limit")
 	}
 }
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -11,7 +11,7 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Settings is the whole file, one field a section.
+// Settings is the contents of the file, with one field per section.
 type Settings struct {
 	Host    Host    `toml:"host" comment:"what this host is"`
 	Listen  Listen  `toml:"listen" comment:"addresses that this host listens on"`
@@ -26,7 +26,7 @@
 	Log     Log     `toml:"log" comment:"what is logged"`
 }
 
-// Default returns the settings that a file need not name.
+// Default returns the settings with all defaults.
 func Default() *Settings {
 	return &Settings{
 		Host: defaultHost(), Listen: defaultListen(), Peers: defaultPeers(), Route: defaultRoute(), Probe: defaultProbe(), Limits: defaultLimits(),
@@ -34,8 +34,8 @@
 	}
 }
 
-// Load reads and checks a file, before which the overrides go. All findings
-// are reported together.
+// Load reads and checks a file. Overrides take precedence over the file. It returns
+// all findings together.
 func Load(path string, overrides ...setting.Override) (*Settings, finding.List) {
 	cfg := Default()
 	doc, findings := setting.Load(path, cfg, overrides...)
--- a/entry/settings/settings_test.go
+++ b/entry/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-const head = "[host]\nname = 'e'\n[control]\nhosts = ['127.0.0.1:7100']\n"
+const minimal = "[host]\nname = 'e'\n[control]\nhosts = ['127.0.0.1:7100']\n"
 
 func write(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "f.toml")
@@ -39,19 +39,19 @@
 	}
 }
 
-func TestKeysOpenNoDoorByOmission(t *testing.T) {
-	must.Eq(t, "", found(t, head))
+func TestMissingKeysLeaveNoListenerUnprotected(t *testing.T) {
+	must.Eq(t, "", found(t, minimal))
 	file := write(t, "secret\n")
-	keyed := head + "[keys]\npeers = '" + file + "'\n"
+	keyed := minimal + "[keys]\npeers = '" + file + "'\n"
 	must.StrContains(t, found(t, keyed), "keys.operators is empty though other keys are set")
 	all := keyed + "operators = '" + file + "'\nupstreams = '" + file + "'\n[listen]\npeers = '10.0.0.1:7202'\nplatform = '10.0.0.1:7201'\n"
 	must.Eq(t, "", found(t, all))
-	must.StrContains(t, found(t, head+"[keys]\npeers = '/nowhere'\n"), "keys.peers cannot be used")
+	must.StrContains(t, found(t, minimal+"[keys]\npeers = '/nowhere'\n"), "keys.peers cannot be used")
 	must.StrContains(t, found(t, strings.Replace(all, file, write(t, "a b c"), 1)), "holds 3 keys")
-	must.Eq(t, "", found(t, head+"[listen]\npeers = '10.0.0.1:7202'\nallowUnkeyed = true\n"))
+	must.Eq(t, "", found(t, minimal+"[listen]\npeers = '10.0.0.1:7202'\nallowUnkeyed = true\n"))
 }
 
 func TestOverridesAreNamedInFindings(t *testing.T) {
-	must.StrContains(t, found(t, head, setting.NewOverride("listen.callers", ":7200", "--callers")), "others, who cannot call :7200")
-	must.StrContains(t, found(t, head, setting.NewOverride("log.level", "loud", "--log-level")), "--log-level: error: log.level")
+	must.StrContains(t, found(t, minimal, setting.NewOverride("listen.callers", ":7200", "--callers")), "others, who cannot call :7200")
+	must.StrContains(t, found(t, minimal, setting.NewOverride("log.level", "loud", "--log-level")), "--log-level: error: log.level")
 }
