--- a/entry/control/watch.go
+++ b/entry/control/watch.go
@@ -62,8 +62,8 @@
 	return func(w *Watch) { w.rates = rates }
 }
 
-// WithAdopt is told the last report of this host before its restart, once.
-func WithAdopt(adopt func(previous *wire.HostReport)) WatchOption {
+// WithRestore is told the last report of this host before its restart, once.
+func WithRestore(adopt func(previous *wire.HostReport)) WatchOption {
 	return func(w *Watch) { w.adopt = adopt }
 }
 
--- a/entry/control/watch_test.go
+++ b/entry/control/watch_test.go
@@ -150,7 +150,7 @@
 	case state == broken && !req.GetWhole():
 		response.Text = textOf(version + 1)
 	case known > 0 && !req.GetWhole():
-		response.Delta, _ = delta.Make(textOf(known), textOf(version))
+		response.Delta, _ = delta.Diff(textOf(known), textOf(version))
 	default:
 		response.Text = textOf(version)
 	}
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -185,9 +185,9 @@
 }
 
 func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, keys *keyRings, exporter *prometheus.Exporter) {
-	handler := discovery.New(discovery.Parts{
+	handler := discovery.New(discovery.Config{
 		Host: cfg.Host.Name, Table: table, Members: node, Entries: node.Entries,
-		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: keys.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.Of,
+		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: keys.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.ArrivalRate,
 	})
 	server := &http.Server{
 		Handler: handler, MaxHeaderBytes: cfg.Limits.HeaderBytes,
@@ -215,7 +215,7 @@
 }
 
 func runDNS(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, table *rules.Table, node *peer.Node) {
-	server := dns.New(cfg.Listen.Domain, discovery.AnswerLifetime, &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries})
+	server := dns.New(cfg.Listen.Domain, discovery.AddressTTL, &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			_, err := server.Start(cfg.Listen.DNS)
--- a/entry/rules/rules.go
+++ b/entry/rules/rules.go
@@ -95,7 +95,7 @@
 	if version.GetNumber() <= t.Current().Number() {
 		return false, nil
 	}
-	set, findings := rule.ReadChange(t.Current().Set(), "rules", text)
+	set, findings := rule.ReadIncremental(t.Current().Set(), "rules", text)
 	if err := findings.Err(); err != nil {
 		return false, errors.Wrapf(err, "parse rules version %d", version.GetNumber())
 	}
