--- a/entry/host/membership.go
+++ b/entry/host/membership.go
@@ -32,8 +32,8 @@
 	return node, nil
 }
 
-// runNode is the first to start and the last to stop, so that the others learn
-// that this host drains, and at the end that it left.
+// runNode must be the first to start and the last to stop, so that the other hosts
+// receive the draining state of this host, and finally that it left.
 func runNode(lc fx.Lifecycle, node *peer.Node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -60,7 +60,7 @@
 	client := ring.Client(&http.Client{Transport: control.NewTransport()})
 	opts := []control.WatchOption{
 		control.WithRates(rates.Store),
-		control.WithRestore(func(previous *wire.HostReport) { state.book.RestoreAlarms(previous.GetBacklog()) }),
+		control.WithRestore(func(previous *wire.HostReport) { state.requests.RestoreAlarms(previous.GetBacklog()) }),
 	}
 	join := node.Join
 	if cfg.Peers.Membership == settings.MembershipControl {
--- /dev/null
+++ b/entry/host/prober.go
@@ -0,0 +1,84 @@
+package host
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/hashicorp/go-hclog"
+	"github.com/snipebeam/snipebeam/entry/route"
+	"github.com/snipebeam/snipebeam/entry/rules"
+	"github.com/snipebeam/snipebeam/entry/settings"
+	"github.com/snipebeam/snipebeam/entry/upstream"
+)
+
+var (
+	probes       = metrics.GetOrCreateCounter("snipebeam_probes_total")
+	probesFailed = metrics.GetOrCreateCounter("snipebeam_probes_failed_total")
+)
+
+// probeTimeout is the time after which an unanswered probe counts as failed.
+const probeTimeout = 400 * time.Millisecond
+
+// prober requests the load of instances at their health path.
+type prober struct {
+	table   *rules.Table
+	pool    *upstream.Pool
+	options options
+	logger  hclog.Logger
+}
+
+func newProber(table *rules.Table, pool *upstream.Pool, o options, logger hclog.Logger) *prober {
+	return &prober{table: table, pool: pool, options: o, logger: logger.Named("probe")}
+}
+
+// routeOption lets the router probe instances before it dispatches a request. It
+// disables this if instances are probed periodically, which uses up the probe
+// budget, or if there is no dialect, without which responses carry no load.
+func (p *prober) routeOption(cfg *settings.Settings) route.Option {
+	if cfg.Probe.StaleMs > 0 || p.options.dialect == nil {
+		return route.WithProbe(nil)
+	}
+	return route.WithProbe(p.probe)
+}
+
+// probe requests the load of one instance.
+func (p *prober) probe(m route.Member) route.ProbeReport {
+	path := p.table.Current().Set().Terms(m.Instance().Service()).Health()
+	if path == "" {
+		return route.ProbeReport{Answered: true}
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	report, err := p.exchange(ctx, m, path)
+	probes.Inc()
+	if err != nil {
+		probesFailed.Inc()
+		p.logger.Debug("instance did not answer", "instance", string(m.Instance().ID()), "error", err)
+		return route.ProbeReport{}
+	}
+	return report
+}
+
+func (p *prober) exchange(ctx context.Context, m route.Member, path string) (report route.ProbeReport, err error) {
+	address := m.Instance().Address()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
+	if err != nil {
+		return report, err
+	}
+	exchange, err := p.pool.Send(ctx, address, req)
+	if err != nil {
+		return report, err
+	}
+	defer exchange.Close()
+	if _, err := io.Copy(io.Discard, exchange); err != nil {
+		return report, err
+	}
+	response := exchange.Response()
+	report.Answered = true
+	report.Healthy = response.StatusCode == http.StatusOK
+	p.options.addLoad(&report, response.Header)
+	return report, nil
+}
--- a/entry/operator/explain.go
+++ b/entry/operator/explain.go
@@ -11,7 +11,8 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Explain says which rule and which instances a request would get.
+// Explain returns the rule that a request matches and the candidate instances, or
+// a recorded decision.
 func (s *Service) Explain(_ context.Context, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
 	if req.GetDecisionId() != "" {
 		return s.explainDecision(req.GetDecisionId())
@@ -21,34 +22,35 @@
 		return nil, twirp.InvalidArgumentError("url", err.Error())
 	}
 	header := http.Header{}
-	for _, one := range req.GetHeaders() {
-		header.Add(one.GetName(), one.GetValue())
+	for _, h := range req.GetHeaders() {
+		header.Add(h.GetName(), h.GetValue())
 	}
-	inForce := s.parts.Table.Current()
-	response := &wire.ExplainResponse{Version: inForce.Number(), ServedBy: s.parts.Host}
+	inForce := s.cfg.Table.Current()
+	response := &wire.ExplainResponse{Version: inForce.Number(), ServedBy: s.cfg.Host}
 	matched := inForce.Set().Match(target.Hostname(), req.GetMethod(), target.EscapedPath(), header)
 	if matched != nil {
 		response.Rule, response.Who, response.Why = matched.String(), matched.Reason().Who(), matched.Reason().Why()
 	}
-	if view := s.parts.Views.Load(target.Hostname()); view != nil {
+	if view := s.cfg.Views.Load(target.Hostname()); view != nil {
 		response.Candidates = viewLines(view)
 	}
 	return response, nil
 }
 
-// explainDecision returns what was known when one of this host's latest
-// decisions was taken.
+// explainDecision returns one of this host's recent decisions with the data it was
+// based on. The rule is included only while the version of the decision is in
+// force.
 func (s *Service) explainDecision(id string) (*wire.ExplainResponse, error) {
-	d := s.parts.Decisions.Find(id)
+	d := s.cfg.Decisions.Find(id)
 	if d == nil {
-		return nil, twirp.NotFoundError("this host does not remember the decision " + id + "; its log file does")
+		return nil, twirp.NotFoundError("decision " + id + " is not in the memory of this host; see its log file")
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(errors.Wrap(err, "encode decision"))
 	}
-	response := &wire.ExplainResponse{DecisionJson: string(text), Version: d.Version, ServedBy: s.parts.Host}
-	inForce := s.parts.Table.Current()
+	response := &wire.ExplainResponse{DecisionJson: string(text), Version: d.Version, ServedBy: s.cfg.Host}
+	inForce := s.cfg.Table.Current()
 	if inForce.Number() != d.Version {
 		return response, nil
 	}
--- a/entry/peer/alternates.go
+++ b/entry/peer/alternates.go
@@ -8,11 +8,12 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// maxAlternates is how many other hosts an instance is told.
+// maxAlternates bounds the alternate hosts returned to an instance.
 const maxAlternates = 3
 
-// Alternates returns the platform addresses of other hosts that an instance
-// may announce itself to, spread by the instance's id.
+// Alternates returns the platform addresses of other ready hosts that an instance
+// may announce itself to. Rendezvous hashing of the instance's id spreads the
+// instances over the hosts.
 func (n *Node) Alternates(id string) []string {
 	var ready []*wire.HostReport
 	for _, host := range n.Entries() {
@@ -20,7 +21,7 @@
 			ready = append(ready, host)
 		}
 	}
-	sort.Slice(ready, func(i, j int) bool { return weight(id, ready[i]) > weight(id, ready[j]) })
+	sort.Slice(ready, func(i, j int) bool { return rendezvousWeight(id, ready[i]) > rendezvousWeight(id, ready[j]) })
 	var addresses []string
 	for _, host := range ready[:min(maxAlternates, len(ready))] {
 		addresses = append(addresses, host.GetPlatformAddress())
@@ -28,6 +29,6 @@
 	return addresses
 }
 
-func weight(id string, host *wire.HostReport) uint64 {
+func rendezvousWeight(id string, host *wire.HostReport) uint64 {
 	return xxhash.Sum64String(id + "\x00" + host.GetName())
 }
