--- a/snipebeam/command/backlog.go
+++ b/snipebeam/command/backlog.go
@@ -16,15 +16,15 @@
 	Service   string `arg:"" optional:"" help:"Service to show; all by default."`
 	Instances bool   `help:"Show each instance as well."`
 	Host      string `help:"Entry host whose view to show; all of them together by default."`
-	watching
+	watchFlags
 }
 
 // backlogView is the backlog in JSON.
 type backlogView struct {
-	AsOf     string          `json:"asOf"`
-	Heard    int             `json:"heard"`
-	Unheard  []string        `json:"unheard"`
-	Services []entry.Backlog `json:"services"`
+	AsOf      string          `json:"asOf"`
+	Responded int             `json:"heard"`
+	Failed    []string        `json:"unheard"`
+	Services  []entry.Backlog `json:"services"`
 }
 
 // Run shows the backlog over all entry hosts.
@@ -40,32 +40,32 @@
 		return err
 	}
 	var lines []*wire.ServiceBacklog
-	for _, answer := range gathered.Responses {
-		lines = append(lines, c.wanted(answer.Value.GetServices())...)
+	for _, response := range gathered.Responses {
+		lines = append(lines, c.filterLines(response.Value.GetServices())...)
 	}
 	view := backlogView{
-		AsOf: time.Now().Format(time.RFC3339), Heard: len(gathered.Responses), Unheard: append([]string{}, gathered.Failed...),
+		AsOf: time.Now().Format(time.RFC3339), Responded: len(gathered.Responses), Failed: append([]string{}, gathered.Failed...),
 		Services: entry.MergeBacklogs(lines, len(gathered.Failed) > 0),
 	}
-	if err := c.own(ctx, g, view.Services); err != nil {
+	if err := c.fillOwners(ctx, g, view.Services); err != nil {
 		return err
 	}
-	out.Line("as of %s, from %d entry hosts, %d unheard", view.AsOf, view.Heard, len(view.Unheard))
+	out.Line("as of %s, from %d entry hosts, %d unheard", view.AsOf, view.Responded, len(view.Failed))
 	if err := out.Show(view, backlogRows(out, view.Services)); err != nil {
 		return err
 	}
-	return gathered.problem()
+	return gathered.incompleteError()
 }
 
-// own names the owners that the rules in force give, where hosts named none.
-func (c *backlogCommand) own(ctx context.Context, g *Globals, services []entry.Backlog) error {
+// fillOwners takes the owner from the rules in force where no host reported one.
+func (c *backlogCommand) fillOwners(ctx context.Context, g *Globals, services []entry.Backlog) error {
 	client, err := g.client()
 	if err != nil {
 		return err
 	}
 	response, err := client.Read(ctx, 0)
 	if err != nil {
-		return errors.Wrap(err, "read who owns the services")
+		return errors.Wrap(err, "read the owners of the services")
 	}
 	set, _ := rule.Read("rules", response.GetText())
 	for n, b := range services {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// wanted leaves out the lines of instances unless they are asked for.
-func (c *backlogCommand) wanted(lines []*wire.ServiceBacklog) []*wire.ServiceBacklog {
+// filterLines drops the lines of instances unless --instances is set.
+func (c *backlogCommand) filterLines(lines []*wire.ServiceBacklog) []*wire.ServiceBacklog {
 	var all []*wire.ServiceBacklog
 	for _, line := range lines {
 		if line.GetInstance() == "" || c.Instances {
@@ -98,7 +98,7 @@
 		if b.Growing {
 			growth = out.Bad("growing for " + time.Since(b.GrowingSince).Round(time.Second).String())
 		}
-		rows.Row(b.Service, b.Instance, b.Owner, atLeast(b.Queued, b.AtLeast), atLeast(b.InFlight, b.AtLeast), milliseconds(b.OldestMs),
+		rows.Row(b.Service, b.Instance, b.Owner, formatCount(b.Queued, b.AtLeast), formatCount(b.InFlight, b.AtLeast), formatMilliseconds(b.OldestMs),
 			fmt.Sprintf("%.1f", b.ArrivalsPerSecond), fmt.Sprintf("%.1f", b.CompletionsPerSecond), fmt.Sprintf("%.1f", b.ErrorsPerSecond), growth)
 	}
 	return rows
--- a/snipebeam/command/check.go
+++ b/snipebeam/command/check.go
@@ -25,7 +25,7 @@
 	Hint     string `json:"hint,omitempty"`
 }
 
-// Run prints every finding; errors make the command fail.
+// Run prints every finding, and fails if one of them is an error.
 func (c *checkCommand) Run(g *Globals) error {
 	text, err := readFile(c.File)
 	if err != nil {
@@ -34,7 +34,7 @@
 	set, findings := rule.Parse(c.File, text)
 	all := findings.All()
 	if c.Strict {
-		findings = strict(all)
+		findings = warningsAsErrors(all)
 	}
 	out := g.out()
 	if err := showFindings(out, all); err != nil {
@@ -59,8 +59,8 @@
 	return out.Show(views, nil)
 }
 
-// strict returns the findings with every warning as an error.
-func strict(all []finding.Finding) finding.List {
+// warningsAsErrors returns the findings with every severity raised to error.
+func warningsAsErrors(all []finding.Finding) finding.List {
 	var list finding.List
 	for _, f := range all {
 		list.Add(finding.Error, f.Place(), f.Text(), f.Hint())
@@ -68,8 +68,8 @@
 	return list
 }
 
-// readFile reads a rules file, or standard input, up to a byte over the size
-// that is accepted.
+// readFile reads a rules file, or standard input. It reads at most one byte more
+// than the maximum size, so that the parser rejects a larger file.
 func readFile(path string) (string, error) {
 	file := os.Stdin
 	if path != "-" {
--- a/snipebeam/command/claim.go
+++ b/snipebeam/command/claim.go
@@ -10,7 +10,7 @@
 	Resolve claimResolveCommand `cmd:"" help:"Record whether a request of unknown outcome ran."`
 }
 
-// claimKey names a request that runs at most once.
+// claimKey identifies a request that runs at most once.
 type claimKey struct {
 	Service string `arg:"" help:"Service of the request."`
 	Caller  string `arg:"" help:"Caller of the request (header Snipebeam-Caller)."`
@@ -33,7 +33,7 @@
 	ClaimID   string `json:"claimId,omitempty"`
 	Holder    string `json:"holder,omitempty"`
 	ClaimedAt string `json:"claimedAt,omitempty"`
-	Status    uint32 `json:"status,omitempty"` // of the stored answer
+	Status    uint32 `json:"status,omitempty"` // HTTP status of the stored response
 }
 
 // Run shows a claim.
@@ -52,14 +52,14 @@
 	if !r.GetFound() {
 		out.Line("there is no claim: the request was not run through the system, was given up before it ran, or is older than claims are kept")
 	} else {
-		out.Line("%s, claim %s, claimed at %s by %s", r.GetState(), r.GetClaimId(), when(r.GetClaimedAt()), r.GetHolder())
+		out.Line("%s, claim %s, claimed at %s by %s", r.GetState(), r.GetClaimId(), formatTime(r.GetClaimedAt()), r.GetHolder())
 	}
 	if r.GetAnswer() != nil {
 		out.Line("stored answer: status %d", r.GetAnswer().GetStatus())
 	}
 	return out.Show(claimView{
 		Found: r.GetFound(), Service: c.Service, Caller: c.Caller, Key: c.Key, State: r.GetState(), ClaimID: r.GetClaimId(),
-		Holder: r.GetHolder(), ClaimedAt: when(r.GetClaimedAt()), Status: r.GetAnswer().GetStatus(),
+		Holder: r.GetHolder(), ClaimedAt: formatTime(r.GetClaimedAt()), Status: r.GetAnswer().GetStatus(),
 	}, nil)
 }
 
@@ -72,7 +72,7 @@
 	Reason    string `help:"How you know." short:"m" required:""`
 }
 
-// Run records an operator's word on a claim.
+// Run records an operator's resolution of a claim.
 func (c *claimResolveCommand) Run(g *Globals) error {
 	client, err := g.client()
 	if err != nil {
@@ -91,7 +91,7 @@
 		return errors.Wrap(err, "resolve claim")
 	}
 	if !r.GetResolved() {
-		return &RefusedError{text: "refused: " + r.GetRefusal() + " (look again with \"snipebeam claim show\")"}
+		return &RefusedError{text: "refused: " + r.GetRefusal() + " (check the claim with \"snipebeam claim show\")"}
 	}
 	out := g.out()
 	out.Line("recorded: %s", resolution)
--- a/snipebeam/command/command_test.go
+++ b/snipebeam/command/command_test.go
@@ -20,7 +20,7 @@
 	return path
 }
 
-func TestCheckPrintsSixMistakesWithTheirPlaces(t *testing.T) {
+func TestCheckPrintsSixMistakesWithTheirPositions(t *testing.T) {
 	path := rulesFile(t, `service catalogue: owner "Comptoir", probe 1% # Marie: lookups
 route catalogue GET /lookup/**: deadline 300 # Marie: no unit
 route catalogue GET /lookup/titanium: deadline 1s # Marie: shadowed
@@ -31,12 +31,12 @@
 `)
 	out, err := run(t, "check", path)
 	must.Eq(t, command.ExitFindings, command.ExitCode(err))
-	var places []string
+	var positions []string
 	for line := range strings.Lines(out) {
-		place, _, _ := strings.Cut(strings.TrimPrefix(line, path), " ")
-		places = append(places, place)
+		position, _, _ := strings.Cut(strings.TrimPrefix(line, path), " ")
+		positions = append(positions, position)
 	}
-	must.Eq(t, []string{":2:42:", ":3:7:", ":4:36:", ":5:7:", ":6:32:", ":7:9:"}, places)
+	must.Eq(t, []string{":2:42:", ":3:7:", ":4:36:", ":5:7:", ":6:32:", ":7:9:"}, positions)
 	out, err = run(t, "check", path, "-o", "json")
 	must.Eq(t, command.ExitFindings, command.ExitCode(err))
 	var findings []map[string]any
@@ -44,14 +44,14 @@
 	must.Len(t, 6, findings)
 }
 
-func TestCheckTakesNoHugeOrBinaryFile(t *testing.T) {
+func TestCheckRejectsOversizedAndBinaryFiles(t *testing.T) {
 	for _, text := range []string{strings.Repeat("#\n", 5<<20), "route a\x00 # w: y", "\xff\xfe"} {
 		_, err := run(t, "check", rulesFile(t, text))
 		must.Eq(t, command.ExitFindings, command.ExitCode(err))
 	}
 }
 
-func TestStrictTakesWarningsForErrors(t *testing.T) {
+func TestStrictTreatsWarningsAsErrors(t *testing.T) {
 	path := rulesFile(t, "route a GET # w: nobody owns its backlog\n")
 	_, err := run(t, "check", path)
 	must.NoError(t, err)
@@ -72,7 +72,7 @@
 	must.NoError(t, err)
 }
 
-func TestALostAnswerKeepsTheSubmission(t *testing.T) {
+func TestSubmitAfterLostResponseReusesSubmission(t *testing.T) {
 	control := &fakeControl{dropNext: true}
 	args := []string{"submit", rulesFile(t, goodRules), "--control", control.start(t), "--state-dir", t.TempDir(), "-m", "why"}
 	_, err := run(t, args...)
@@ -82,15 +82,15 @@
 	must.StrContains(t, out, "accepted as version 8")
 	_, err = run(t, args...)
 	must.NoError(t, err)
-	must.Len(t, 3, control.seen)
-	must.Eq(t, control.seen[0].GetSubmissionId(), control.seen[1].GetSubmissionId())
-	must.Eq(t, control.seen[0].GetBaseVersion(), control.seen[1].GetBaseVersion())
-	must.NotEq(t, control.seen[1].GetSubmissionId(), control.seen[2].GetSubmissionId())
+	must.Len(t, 3, control.submissions)
+	must.Eq(t, control.submissions[0].GetSubmissionId(), control.submissions[1].GetSubmissionId())
+	must.Eq(t, control.submissions[0].GetBaseVersion(), control.submissions[1].GetBaseVersion())
+	must.NotEq(t, control.submissions[1].GetSubmissionId(), control.submissions[2].GetSubmissionId())
 }
 
-func TestARefusalShowsTheWinner(t *testing.T) {
+func TestRefusedSubmitShowsVersionInForce(t *testing.T) {
 	winner := "service a: owner O # w: y\nroute a GET: deadline 9s # w: y\n"
-	control := &fakeControl{refuse: &wire.SubmitResponse{Version: &wire.Version{Number: 8, Author: "Luc"}, WinnerText: winner, Refusal: "the base is version 7"}}
+	control := &fakeControl{refusal: &wire.SubmitResponse{Version: &wire.Version{Number: 8, Author: "Luc"}, WinnerText: winner, Refusal: "the base is version 7"}}
 	out, err := run(t, "submit", rulesFile(t, goodRules), "--control", control.start(t), "--state-dir", t.TempDir())
 	must.Eq(t, command.ExitRefused, command.ExitCode(err))
 	must.ErrorContains(t, err, "--base 8")
@@ -98,21 +98,21 @@
 	must.StrContains(t, out, "-route a GET: deadline 9s # w: y\n+route a GET: deadline 1s # w: y")
 }
 
-func TestAHostWithoutQuorumIsPassedOver(t *testing.T) {
-	cutOff := &fakeControl{stale: true, text: "old\n"}
+func TestReadFailsOverFromHostWithoutQuorum(t *testing.T) {
+	noQuorum := &fakeControl{stale: true, text: "old\n"}
 	current := &fakeControl{text: "new\n"}
-	out, err := run(t, "rules", "--control", deadAddress(t)+","+cutOff.start(t)+","+current.start(t))
+	out, err := run(t, "rules", "--control", refusingAddress(t)+","+noQuorum.start(t)+","+current.start(t))
 	must.NoError(t, err)
 	must.StrContains(t, out, "new")
-	out, err = run(t, "rules", "--control", cutOff.start(t))
+	out, err = run(t, "rules", "--control", noQuorum.start(t))
 	must.Eq(t, command.ExitStale, command.ExitCode(err))
 	must.StrContains(t, out, "old")
-	_, err = run(t, "rules", "--control", deadAddress(t))
+	_, err = run(t, "rules", "--control", refusingAddress(t))
 	must.Eq(t, command.ExitFailed, command.ExitCode(err))
 	must.ErrorContains(t, err, "connection refused")
 }
 
-func TestBacklogOfUnheardHostsIsAtLeast(t *testing.T) {
+func TestBacklogIsLowerBoundIfHostsFail(t *testing.T) {
 	host := func(name, address string) *wire.HostReport {
 		return &wire.HostReport{Name: name, Role: "entry", PeersAddress: address, Version: 7}
 	}
@@ -123,7 +123,7 @@
 	out, err := run(t, "backlog", "--control", control.start(t))
 	must.NoError(t, err)
 	must.StrContains(t, out, "7")
-	control.hosts = append(control.hosts, host("e3", deadAddress(t)), host("e4", deadAddress(t)))
+	control.hosts = append(control.hosts, host("e3", refusingAddress(t)), host("e4", refusingAddress(t)))
 	out, err = run(t, "backlog", "--control", control.start(t))
 	must.Eq(t, command.ExitStale, command.ExitCode(err))
 	must.ErrorContains(t, err, "2 hosts unheard: [e3 e4]")
--- a/snipebeam/command/diff.go
+++ b/snipebeam/command/diff.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	newName, newText, err := c.newer(ctx, client)
+	newName, newText, err := c.newerText(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	return err
 }
 
-func (c *diffCommand) newer(ctx context.Context, client *control.Client) (name, text string, err error) {
+func (c *diffCommand) newerText(ctx context.Context, client *control.Client) (name, text string, err error) {
 	if c.File == "" {
 		if c.To == 0 {
 			return "", "", errors.New("nothing to compare with (name a rules file, or a version with --to)")
@@ -58,7 +58,8 @@
 	return c.File, text, err
 }
 
-// readVersion returns the name and text of a version, 0 for the one in force.
+// readVersion returns the name and text of a version; number 0 selects the one
+// in force.
 func readVersion(ctx context.Context, client *control.Client, number uint64) (name, text string, err error) {
 	response, err := client.Read(ctx, number)
 	if err != nil {
--- a/snipebeam/command/drain.go
+++ b/snipebeam/command/drain.go
@@ -14,11 +14,11 @@
 	Wait bool   `help:"Wait until nothing is in flight."`
 }
 
-type hostsBackCommand struct {
+type hostsUndrainCommand struct {
 	Host string `arg:"" help:"Name of the entry host."`
 }
 
-// Run drains a host.
+// Run starts draining a host.
 func (c *hostsDrainCommand) Run(g *Globals) error {
 	for {
 		response, err := drain(g, c.Host, true)
@@ -28,12 +28,12 @@
 		if !c.Wait || response.GetInFlight() == 0 {
 			return showDrain(g, c.Host, response)
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
 }
 
 // Run ends the draining of a host.
-func (c *hostsBackCommand) Run(g *Globals) error {
+func (c *hostsUndrainCommand) Run(g *Globals) error {
 	response, err := drain(g, c.Host, false)
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	caller, err := g.http()
+	httpClient, err := g.http()
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	response, err := entry.Call(ctx, caller, host, func(ctx context.Context, h wire.Entry) (*wire.DrainResponse, error) {
+	response, err := entry.Call(ctx, httpClient, host, func(ctx context.Context, h wire.Entry) (*wire.DrainResponse, error) {
 		return h.Drain(ctx, &wire.DrainRequest{Drain: start})
 	})
 	return response, errors.Wrapf(err, "drain %s", name)
@@ -65,7 +65,7 @@
 func showDrain(g *Globals, name string, r *wire.DrainResponse) error {
 	oldest := float64(r.GetOldestNs()) / float64(time.Millisecond)
 	out := g.out()
-	out.Line("%s: %s, %d in flight, oldest %s", name, out.State(r.GetState()), r.GetInFlight(), milliseconds(oldest))
+	out.Line("%s: %s, %d in flight, oldest %s", name, out.State(r.GetState()), r.GetInFlight(), formatMilliseconds(oldest))
 	return out.Show(struct {
 		Host     string  `json:"host"`
 		State    string  `json:"state"`
--- a/snipebeam/command/exit.go
+++ b/snipebeam/command/exit.go
@@ -14,20 +14,21 @@
 	ExitFailed   = 1 // the command failed
 	ExitFindings = 2 // the rules file has errors
 	ExitRefused  = 3 // the submission or change was refused
-	ExitStale    = 4 // the answer may be out of date, or hosts were not heard
+	ExitStale    = 4 // the output may be out of date, or hosts did not respond
 	ExitDiffers  = 5 // diff --exit-code or fmt --check found a difference
 )
 
-// RefusedError is the error of a change that was refused.
+// RefusedError is the error of a submission or change that was refused.
 type RefusedError struct{ text string }
 
 // Error returns why the change was refused and what to do next.
 func (r *RefusedError) Error() string { return r.text }
 
-// StaleError is the error of an answer that was shown but may be out of date.
+// StaleError is the error of a command whose output may be out of date or
+// incomplete.
 type StaleError struct{ text string }
 
-// Error returns why the answer may be out of date.
+// Error returns why the output may be out of date or incomplete.
 func (s *StaleError) Error() string { return s.text }
 
 // DifferenceError is the error of a comparison that found a difference.
@@ -36,17 +37,17 @@
 // Error returns what differs.
 func (d *DifferenceError) Error() string { return d.text }
 
-// staleAnswer returns the error of an answer that no quorum confirmed.
-func staleAnswer(asOf int64) error {
+// newStaleError returns the error of a response that no quorum confirmed.
+func newStaleError(asOf int64) error {
 	age := time.Since(time.Unix(0, asOf)).Round(time.Millisecond)
-	return &StaleError{text: fmt.Sprintf("no quorum of control hosts confirmed this; it is what one of them knew %s ago (see the members in \"snipebeam status\")", age)}
+	return &StaleError{text: fmt.Sprintf("no quorum of control hosts confirmed this; it is the state that one of them had %s ago (see the members in \"snipebeam status\")", age)}
 }
 
 // ExitCode returns the exit code for an error.
 func ExitCode(err error) int {
 	var (
 		findings *finding.Failure
-		refusal  *RefusedError
+		refused  *RefusedError
 		stale    *StaleError
 		differs  *DifferenceError
 	)
@@ -55,7 +56,7 @@
 		return ExitOK
 	case errors.As(err, &findings):
 		return ExitFindings
-	case errors.As(err, &refusal):
+	case errors.As(err, &refused):
 		return ExitRefused
 	case errors.As(err, &stale):
 		return ExitStale
--- a/snipebeam/command/explain.go
+++ b/snipebeam/command/explain.go
@@ -42,7 +42,7 @@
 	LatencyMs   float64 `json:"latencyMs"`
 }
 
-// Run explains a request, or a decision that was taken.
+// Run explains how a request would be routed, or a past decision.
 func (c *explainCommand) Run(g *Globals) error {
 	req, err := c.request()
 	if err != nil {
@@ -56,18 +56,19 @@
 	if err != nil {
 		return err
 	}
-	for _, answer := range gathered.Responses {
-		if req.GetDecisionId() == "" || answer.Value.GetDecisionJson() != "" {
-			return show(g, answer.Value)
+	for _, response := range gathered.Responses {
+		if req.GetDecisionId() == "" || response.Value.GetDecisionJson() != "" {
+			return showExplanation(g, response.Value)
 		}
 	}
-	if err := gathered.problem(); err != nil {
+	if err := gathered.incompleteError(); err != nil {
 		return err
 	}
-	return errors.Errorf("no entry host remembers the decision %s (hosts keep the latest ones only; older ones are in their decision logs)", c.Subject)
+	return errors.Errorf("no entry host has the decision %s (hosts keep only the latest; older ones are in their decision logs)", c.Subject)
 }
 
-// explain asks one host; one that does not know a decision has answered.
+// explain calls one host. If the host does not have the decision, the response
+// is empty: the host did respond, and must not count as failed.
 func explain(ctx context.Context, h wire.Entry, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
 	response, err := h.Explain(ctx, req)
 	var t twirp.Error
@@ -86,21 +87,21 @@
 		return nil, errors.Errorf("%s is not a URL (write it as http://SERVICE/PATH)", c.URL)
 	}
 	req := &wire.ExplainRequest{Method: strings.ToUpper(c.Subject), Url: c.URL}
-	for _, one := range c.Header {
-		name, value, found := strings.Cut(one, ":")
+	for _, header := range c.Header {
+		name, value, found := strings.Cut(header, ":")
 		if !found {
-			return nil, errors.Errorf("%s is not a header (write it as Name: value)", one)
+			return nil, errors.Errorf("%s is not a header (write it as Name: value)", header)
 		}
 		req.Headers = append(req.Headers, &wire.Header{Name: strings.TrimSpace(name), Value: strings.TrimSpace(value)})
 	}
 	return req, nil
 }
 
-func show(g *Globals, r *wire.ExplainResponse) error {
+func showExplanation(g *Globals, r *wire.ExplainResponse) error {
 	out := g.out()
 	view := explainView{
 		ServedBy: r.GetServedBy(), Version: r.GetVersion(), Rule: r.GetRule(), Who: r.GetWho(), Why: r.GetWhy(),
-		Candidates: candidates(r),
+		Candidates: viewCandidates(r),
 	}
 	if json.Valid([]byte(r.GetDecisionJson())) {
 		view.Decision = json.RawMessage(r.GetDecisionJson())
@@ -112,13 +113,13 @@
 		out.Line("rule: %s", r.GetRule())
 	}
 	if view.Decision != nil {
-		out.Line("decision: %s", indented(view.Decision))
+		out.Line("decision: %s", indentJSON(view.Decision))
 		return out.Show(view, nil)
 	}
 	return out.Show(view, candidateRows(out, view.Candidates))
 }
 
-func indented(document json.RawMessage) string {
+func indentJSON(document json.RawMessage) string {
 	var b bytes.Buffer
 	if err := json.Indent(&b, document, "", "  "); err != nil {
 		return string(document)
@@ -126,7 +127,7 @@
 	return b.String()
 }
 
-func candidates(r *wire.ExplainResponse) []candidateView {
+func viewCandidates(r *wire.ExplainResponse) []candidateView {
 	views := []candidateView{}
 	for _, c := range r.GetCandidates() {
 		views = append(views, candidateView{
@@ -141,7 +142,7 @@
 func candidateRows(out *terminal.Output, all []candidateView) *terminal.Rows {
 	rows := terminal.NewTable("instance", "zone", "state", "in flight", "reported", "report age", "latency").Empty("no instance")
 	for _, c := range all {
-		rows.Row(c.Instance, c.Zone, out.State(c.State), c.InFlight, c.Reported, milliseconds(c.ReportAgeMs), milliseconds(c.LatencyMs))
+		rows.Row(c.Instance, c.Zone, out.State(c.State), c.InFlight, c.Reported, formatMilliseconds(c.ReportAgeMs), formatMilliseconds(c.LatencyMs))
 	}
 	return rows
 }
--- a/snipebeam/command/fake_test.go
+++ b/snipebeam/command/fake_test.go
@@ -15,25 +15,25 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// fakeControl is a control host that answers what a test sets.
+// fakeControl is a control host with configurable responses.
 type fakeControl struct {
 	wire.Rules
 	wire.Claims
-	mu       sync.Mutex
-	stale    bool
-	dropNext bool // close the connection in place of the next answer
-	refuse   *wire.SubmitResponse
-	hosts    []*wire.HostReport
-	text     string
-	seen     []*wire.SubmitRequest
+	mu          sync.Mutex
+	stale       bool
+	dropNext    bool // close the connection instead of sending the next response
+	refusal     *wire.SubmitResponse
+	hosts       []*wire.HostReport
+	text        string
+	submissions []*wire.SubmitRequest
 }
 
 func (f *fakeControl) Submit(_ context.Context, req *wire.SubmitRequest) (*wire.SubmitResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen = append(f.seen, req)
-	if f.refuse != nil {
-		return f.refuse, nil
+	f.submissions = append(f.submissions, req)
+	if f.refusal != nil {
+		return f.refusal, nil
 	}
 	return &wire.SubmitResponse{Accepted: true, Version: &wire.Version{Number: req.GetBaseVersion() + 1}}, nil
 }
@@ -49,13 +49,13 @@
 func (f *fakeControl) start(t *testing.T) string {
 	mux := http.NewServeMux()
 	mux.Handle(wire.RulesPathPrefix, wire.NewRulesServer(f))
-	mux.Handle(wire.RulesPathPrefix+"Submit", f.losing(wire.NewRulesServer(f)))
+	mux.Handle(wire.RulesPathPrefix+"Submit", f.dropResponse(wire.NewRulesServer(f)))
 	return serve(t, mux)
 }
 
-// losing carries out a call whose answer is to be lost, and then cuts the
-// connection.
-func (f *fakeControl) losing(next http.Handler) http.Handler {
+// dropResponse handles the call with next. If dropNext is set, it discards the
+// response and closes the connection.
+func (f *fakeControl) dropResponse(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !f.takeDrop() {
 			next.ServeHTTP(w, r)
@@ -74,7 +74,7 @@
 	return drop
 }
 
-// fakeEntry is an entry host that answers what a test sets.
+// fakeEntry is an entry host with a configurable backlog response.
 type fakeEntry struct {
 	wire.Entry
 	backlog *wire.BacklogResponse
@@ -92,15 +92,15 @@
 	return server.Listener.Addr().String()
 }
 
-// deadAddress returns an address that refuses connections.
-func deadAddress(t *testing.T) string {
+// refusingAddress returns an address that refuses connections.
+func refusingAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
 	return listener.Addr().String()
 }
 
-// run runs a command as the tool does.
+// run parses and runs a command as main does, and returns its output.
 func run(t *testing.T, args ...string) (out string, err error) {
 	var root command.Root
 	var buffer bytes.Buffer
--- a/snipebeam/command/fmt.go
+++ b/snipebeam/command/fmt.go
@@ -14,11 +14,11 @@
 	Print bool     `help:"Write to standard output and change no file." short:"p"`
 }
 
-// Run rewrites the files; one that cannot be read stays as it is.
+// Run rewrites the files in canonical form. A file with errors is left unchanged.
 func (c *fmtCommand) Run(g *Globals) error {
 	differs := false
 	for _, path := range c.Files {
-		changed, err := c.one(g, path)
+		changed, err := c.formatFile(g, path)
 		if err != nil {
 			return err
 		}
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (c *fmtCommand) one(g *Globals, path string) (bool, error) {
+func (c *fmtCommand) formatFile(g *Globals, path string) (bool, error) {
 	text, err := readFile(path)
 	if err != nil {
 		return false, err
@@ -46,14 +46,14 @@
 	case changed && c.Check:
 		g.out().Line("%s", path)
 	case changed:
-		return true, replace(path, formatted)
+		return true, replaceFile(path, formatted)
 	}
 	return changed, nil
 }
 
-// replace writes a file beside the old one and renames it, so that no half
-// written file is left.
-func replace(path, text string) error {
+// replaceFile writes a temporary file in the same folder and renames it over the
+// old one, so that an interruption leaves no partly written rules file.
+func replaceFile(path, text string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return errors.Wrap(err, "write rules file")
--- a/snipebeam/command/group.go
+++ b/snipebeam/command/group.go
@@ -7,11 +7,11 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Changes of the control group.
+// Kinds of changes of the control group.
 const (
-	changeAdd     = "add-learner"
-	changePromote = "promote"
-	changeRemove  = "remove"
+	changeAddLearner = "add-learner"
+	changePromote    = "promote"
+	changeRemove     = "remove"
 )
 
 type groupCommand struct {
@@ -29,7 +29,7 @@
 
 // Run adds a learner.
 func (c *groupAddCommand) Run(g *Globals) error {
-	return change(g, changeAdd, &wire.Member{Name: c.Name, Address: c.Address, Identity: c.Identity})
+	return changeGroup(g, changeAddLearner, &wire.Member{Name: c.Name, Address: c.Address, Identity: c.Identity})
 }
 
 type groupPromoteCommand struct {
@@ -37,9 +37,9 @@
 	Identity string `help:"Identity of its data folder, if several members have the name."`
 }
 
-// Run lets a learner vote.
+// Run promotes a learner to a voting member.
 func (c *groupPromoteCommand) Run(g *Globals) error {
-	return change(g, changePromote, &wire.Member{Name: c.Name, Identity: c.Identity})
+	return changeGroup(g, changePromote, &wire.Member{Name: c.Name, Identity: c.Identity})
 }
 
 type groupRemoveCommand struct {
@@ -49,22 +49,22 @@
 
 // Run removes a member.
 func (c *groupRemoveCommand) Run(g *Globals) error {
-	return change(g, changeRemove, &wire.Member{Name: c.Name, Identity: c.Identity})
+	return changeGroup(g, changeRemove, &wire.Member{Name: c.Name, Identity: c.Identity})
 }
 
-func change(g *Globals, what string, member *wire.Member) error {
+func changeGroup(g *Globals, kind string, member *wire.Member) error {
 	client, err := g.client()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := g.context()
 	defer cancel()
-	r, err := client.ChangeGroup(ctx, &wire.GroupChangeRequest{Change: what, Member: member})
+	r, err := client.ChangeGroup(ctx, &wire.GroupChangeRequest{Change: kind, Member: member})
 	if err != nil {
 		return errors.Wrap(err, "change the control group")
 	}
 	if !r.GetDone() {
-		return &RefusedError{text: "refused: " + r.GetRefusal() + " (look at the members in \"snipebeam status\"; one change at a time)"}
+		return &RefusedError{text: "refused: " + r.GetRefusal() + " (see the members in \"snipebeam status\"; one change at a time)"}
 	}
 	rows := terminal.NewTable("member", "address", "role", "identity")
 	views := []memberView{}
@@ -79,7 +79,7 @@
 	To string `arg:"" help:"Name of the member that is to lead."`
 }
 
-// Run hands leadership over.
+// Run transfers leadership to a member.
 func (c *groupTransferCommand) Run(g *Globals) error {
 	client, err := g.client()
 	if err != nil {
@@ -92,10 +92,10 @@
 		return &RefusedError{text: "refused: " + err.Error()}
 	}
 	if err != nil {
-		return errors.Wrap(err, "hand leadership over")
+		return errors.Wrap(err, "transfer leadership")
 	}
 	if !r.GetDone() {
-		return &RefusedError{text: "not handed over; the leader is " + nobody(r.GetLeader()) + " (the member must vote and have caught up)"}
+		return &RefusedError{text: "leadership not transferred; the leader is " + formatLeader(r.GetLeader()) + " (the member must vote and have caught up)"}
 	}
 	out := g.out()
 	out.Line("the leader is %s", r.GetLeader())
--- a/snipebeam/command/history.go
+++ b/snipebeam/command/history.go
@@ -24,14 +24,14 @@
 	rows := terminal.NewTable("version", "accepted", "by", "reason", "rollback of").Empty("no version was accepted yet")
 	views := []versionView{}
 	for _, v := range response.GetVersions() {
-		rows.Row(v.GetNumber(), when(v.GetAcceptedAt()), v.GetAuthor(), v.GetReason(), orBlank(v.GetRollbackOf()))
+		rows.Row(v.GetNumber(), formatTime(v.GetAcceptedAt()), v.GetAuthor(), v.GetReason(), formatNonZero(v.GetRollbackOf()))
 		views = append(views, viewVersion(v))
 	}
 	if err := g.out().Show(views, rows); err != nil {
 		return err
 	}
 	if response.GetStale() {
-		return staleAnswer(response.GetAsOf())
+		return newStaleError(response.GetAsOf())
 	}
 	return nil
 }
--- a/snipebeam/command/hosts.go
+++ b/snipebeam/command/hosts.go
@@ -11,9 +11,9 @@
 )
 
 type hostsCommand struct {
-	List    hostsListCommand  `cmd:"" default:"withargs" help:"List the hosts."`
-	Drain   hostsDrainCommand `cmd:"" help:"Let a host finish what it has and take nothing new."`
-	Undrain hostsBackCommand  `cmd:"" help:"Let a drained host take callers again."`
+	List    hostsListCommand    `cmd:"" default:"withargs" help:"List the hosts."`
+	Drain   hostsDrainCommand   `cmd:"" help:"Let a host finish what it has and take nothing new."`
+	Undrain hostsUndrainCommand `cmd:"" help:"Let a drained host take callers again."`
 }
 
 // hostView is a host in JSON.
@@ -40,8 +40,8 @@
 	for _, h := range s.GetHosts() {
 		views = append(views, hostView{
 			Name: h.GetName(), Role: h.GetRole(), Zone: h.GetZone(), State: h.GetState(), Version: h.GetVersion(),
-			VersionsBehind: behind(s.GetVersion().GetNumber(), h.GetVersion()), VersionConfirmed: when(h.GetVersionConfirmedAt()),
-			InFlight: h.GetInFlight(), ReportedAt: when(h.GetReportedAt()), CallersAddress: h.GetCallersAddress(),
+			VersionsBehind: behind(s.GetVersion().GetNumber(), h.GetVersion()), VersionConfirmed: formatTime(h.GetVersionConfirmedAt()),
+			InFlight: h.GetInFlight(), ReportedAt: formatTime(h.GetReportedAt()), CallersAddress: h.GetCallersAddress(),
 			PeersAddress: h.GetPeersAddress(), PlatformAddress: h.GetPlatformAddress(),
 			reportedAt: h.GetReportedAt(), confirmedAt: h.GetVersionConfirmedAt(),
 		})
@@ -57,12 +57,12 @@
 		if h.VersionsBehind > 0 {
 			version = out.Bad(fmt.Sprintf("%d, %d behind", h.Version, h.VersionsBehind))
 		}
-		rows.Row(h.Name, h.Role, h.Zone, out.State(h.State), version, age(h.confirmedAt)+" ago", h.InFlight, h.CallersAddress, age(h.reportedAt)+" ago")
+		rows.Row(h.Name, h.Role, h.Zone, out.State(h.State), version, formatAge(h.confirmedAt)+" ago", h.InFlight, h.CallersAddress, formatAge(h.reportedAt)+" ago")
 	}
 	return rows
 }
 
-type hostsListCommand struct{ watching }
+type hostsListCommand struct{ watchFlags }
 
 // Run lists the hosts.
 func (c *hostsListCommand) Run(g *Globals) error {
@@ -79,7 +79,7 @@
 		if err := out.Show(hosts, hostRows(out, hosts)); err != nil {
 			return err
 		}
-		return statusProblem(status, hosts)
+		return statusError(status, hosts)
 	})
 }
 
--- a/snipebeam/command/instances.go
+++ b/snipebeam/command/instances.go
@@ -13,7 +13,7 @@
 type instancesCommand struct {
 	Service string `arg:"" optional:"" help:"Service to list; all by default."`
 	Host    string `help:"Entry host whose view to show; all of them together by default."`
-	watching
+	watchFlags
 }
 
 // Run lists the instances.
@@ -32,44 +32,44 @@
 	rows := terminal.NewTable("instance", "service", "zone", "state", "in flight", "slots", "reported", "report age", "latency", "errors/s", "seen by").
 		Empty("no instance has announced itself")
 	for _, i := range instances {
-		rows.Row(i.ID, i.Service, i.Zone, out.State(i.State), atLeast(i.InFlight, i.AtLeast), i.Slots, i.Reported,
-			milliseconds(i.ReportAgeMs), milliseconds(i.LatencyMs), fmt.Sprintf("%.1f", i.ErrorsPerSecond), len(i.SeenBy))
+		rows.Row(i.ID, i.Service, i.Zone, out.State(i.State), formatCount(i.InFlight, i.AtLeast), i.Slots, i.Reported,
+			formatMilliseconds(i.ReportAgeMs), formatMilliseconds(i.LatencyMs), fmt.Sprintf("%.1f", i.ErrorsPerSecond), len(i.SeenBy))
 	}
 	if err := out.Show(instances, rows); err != nil {
 		return err
 	}
-	return gathered.problem()
+	return gathered.incompleteError()
 }
 
-// gatheredAnswers adds to the answers of hosts what the command says of those
-// that were not heard.
-type gatheredAnswers[T any] struct{ entry.Gathered[T] }
+// gatheredResponses extends the responses of hosts with the error for those that
+// did not respond.
+type gatheredResponses[T any] struct{ entry.Gathered[T] }
 
-func (a gatheredAnswers[T]) problem() error {
+func (a gatheredResponses[T]) incompleteError() error {
 	if len(a.Failed) == 0 {
 		return nil
 	}
 	return &StaleError{text: fmt.Sprintf("%d hosts unheard: %v; counts are at least what is shown (last error: %v)", len(a.Failed), a.Failed, a.Err)}
 }
 
-// gather asks every entry host, or the named one.
-func gather[T any](ctx context.Context, g *Globals, only string, call func(context.Context, wire.Entry) (T, error)) (gatheredAnswers[T], error) {
-	var none gatheredAnswers[T]
+// gather calls every entry host, or only the named one.
+func gather[T any](ctx context.Context, g *Globals, hostName string, call func(context.Context, wire.Entry) (T, error)) (gatheredResponses[T], error) {
+	var none gatheredResponses[T]
 	client, err := g.client()
 	if err != nil {
 		return none, err
 	}
-	caller, err := g.http()
+	httpClient, err := g.http()
 	if err != nil {
 		return none, err
 	}
 	status, err := client.Status(ctx)
 	if err != nil {
-		return none, errors.Wrap(err, "read which hosts there are")
+		return none, errors.Wrap(err, "read the list of hosts")
 	}
 	hosts := entry.Hosts(status)
-	if only != "" {
-		host, err := findHost(ctx, client, only)
+	if hostName != "" {
+		host, err := findHost(ctx, client, hostName)
 		if err != nil {
 			return none, err
 		}
@@ -78,5 +78,5 @@
 	if len(hosts) == 0 {
 		return none, errors.New("no entry host reports to the control hosts yet (see \"snipebeam status\")")
 	}
-	return gatheredAnswers[T]{entry.Gather(ctx, caller, hosts, call)}, nil
+	return gatheredResponses[T]{entry.Gather(ctx, httpClient, hosts, call)}, nil
 }
--- a/snipebeam/command/loglevel.go
+++ b/snipebeam/command/loglevel.go
@@ -27,8 +27,8 @@
 		return errors.Wrap(gathered.Err, "change the log level")
 	}
 	changed := []string{}
-	for _, answer := range gathered.Responses {
-		changed = append(changed, answer.Host)
+	for _, response := range gathered.Responses {
+		changed = append(changed, response.Host)
 	}
 	out := g.out()
 	out.Line("%s on %v, until they restart", c.Level, changed)
@@ -39,5 +39,5 @@
 	if err != nil {
 		return err
 	}
-	return gathered.problem()
+	return gathered.incompleteError()
 }
--- a/snipebeam/command/manual_test.go
+++ b/snipebeam/command/manual_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipebeam/snipebeam/snipebeam/command"
 )
 
-// Each command and each of its flags is in the operators' pages.
+// Guards against commands and flags that the operators' pages do not document.
 func TestEveryCommandHasAManual(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	must.NoError(t, err)
--- a/snipebeam/command/rollback.go
+++ b/snipebeam/command/rollback.go
@@ -4,11 +4,11 @@
 
 type rollbackCommand struct {
 	Version uint64 `arg:"" help:"Version whose text is submitted again."`
-	submitting
+	submitFlags
 }
 
-// Run submits the text of an older version as a new one. The number never
-// goes back.
+// Run submits the text of an older version as a new version; version numbers
+// never decrease.
 func (c *rollbackCommand) Run(g *Globals) error {
 	client, err := g.client()
 	if err != nil {
--- a/snipebeam/command/root.go
+++ b/snipebeam/command/root.go
@@ -1,5 +1,5 @@
-// Package command holds the operators' commands, one a file. Each is a struct
-// whose tagged fields are its flags; Root registers them.
+// Package command implements the operators' commands, one per file. Each is a
+// struct whose tagged fields are its arguments and flags; Root registers them.
 //
 // Usage:
 //
@@ -60,7 +60,7 @@
 	return terminal.New(g.Out, g.Output)
 }
 
-// http returns a client that sends the operators' key.
+// http returns an HTTP client that authenticates with the operators' key.
 func (g *Globals) http() (*http.Client, error) {
 	ring, err := key.Load(g.KeyFile)
 	if err != nil {
--- a/snipebeam/command/rules.go
+++ b/snipebeam/command/rules.go
@@ -24,7 +24,7 @@
 
 func viewVersion(v *wire.Version) versionView {
 	return versionView{
-		Version: v.GetNumber(), Author: v.GetAuthor(), Reason: v.GetReason(), AcceptedAt: when(v.GetAcceptedAt()),
+		Version: v.GetNumber(), Author: v.GetAuthor(), Reason: v.GetReason(), AcceptedAt: formatTime(v.GetAcceptedAt()),
 		Digest: v.GetDigest(), SubmissionID: v.GetSubmissionId(), RollbackOf: v.GetRollbackOf(),
 	}
 }
@@ -47,13 +47,13 @@
 	}
 	text := response.GetText()
 	if c.Service != "" {
-		text = linesOf(text, c.Service)
+		text = serviceLines(text, c.Service)
 	}
 	out := g.out()
 	if v == nil {
 		out.Line("# no rules are in force yet (submit some with \"snipebeam submit\")")
 	} else {
-		out.Line("# version %d, by %s at %s: %s", v.GetNumber(), v.GetAuthor(), when(v.GetAcceptedAt()), reasonOf(v.GetReason()))
+		out.Line("# version %d, by %s at %s: %s", v.GetNumber(), v.GetAuthor(), formatTime(v.GetAcceptedAt()), formatReason(v.GetReason()))
 	}
 	out.Text(text)
 	err = out.Show(struct {
@@ -62,15 +62,15 @@
 		Stale    bool   `json:"stale"`
 		AsOf     string `json:"asOf"`
 		ServedBy string `json:"servedBy"`
-	}{viewVersion(v), text, response.GetStale(), when(response.GetAsOf()), response.GetServedBy()}, nil)
+	}{viewVersion(v), text, response.GetStale(), formatTime(response.GetAsOf()), response.GetServedBy()}, nil)
 	if err == nil && response.GetStale() {
-		return staleAnswer(response.GetAsOf())
+		return newStaleError(response.GetAsOf())
 	}
 	return err
 }
 
-// linesOf returns the lines of one service in canonical form.
-func linesOf(text, service string) string {
+// serviceLines returns the rules of one service in canonical form.
+func serviceLines(text, service string) string {
 	set, _ := rule.Read("rules", text)
 	lines := ""
 	if line := set.Service(service); line != nil {
--- a/snipebeam/command/status.go
+++ b/snipebeam/command/status.go
@@ -10,7 +10,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-type statusCommand struct{ watching }
+type statusCommand struct{ watchFlags }
 
 // memberView is a member of the control group in JSON.
 type memberView struct {
@@ -56,12 +56,12 @@
 	if err := out.Show(view, hostRows(out, view.Hosts)); err != nil {
 		return err
 	}
-	return statusProblem(status, view.Hosts)
+	return statusError(status, view.Hosts)
 }
 
 func viewStatus(s *wire.StatusResponse) statusView {
 	view := statusView{
-		ServedBy: s.GetServedBy(), AsOf: when(s.GetAsOf()), Quorum: s.GetQuorum(), Leader: s.GetLeader(),
+		ServedBy: s.GetServedBy(), AsOf: formatTime(s.GetAsOf()), Quorum: s.GetQuorum(), Leader: s.GetLeader(),
 		Term: s.GetTerm(), CommitIndex: s.GetCommitIndex(), Version: viewVersion(s.GetVersion()),
 		ClaimsOutstanding: s.GetClaimsOutstanding(), ClaimsUnknown: s.GetClaimsUnknown(),
 		Members: []memberView{}, Hosts: viewHosts(s),
@@ -75,11 +75,11 @@
 	return view
 }
 
-func behind(newest, own uint64) uint64 {
-	if own >= newest {
+func behind(latest, current uint64) uint64 {
+	if current >= latest {
 		return 0
 	}
-	return newest - own
+	return latest - current
 }
 
 func writeGroup(out *terminal.Output, s *wire.StatusResponse) {
@@ -88,8 +88,8 @@
 		quorum = out.Bad("NO QUORUM")
 	}
 	v := s.GetVersion()
-	out.Line("version %d in force, by %s at %s: %s", v.GetNumber(), v.GetAuthor(), when(v.GetAcceptedAt()), reasonOf(v.GetReason()))
-	out.Line("%s, leader %s, term %d, commit index %d; as of %s, from %s", quorum, nobody(s.GetLeader()), s.GetTerm(), s.GetCommitIndex(), when(s.GetAsOf()), s.GetServedBy())
+	out.Line("version %d in force, by %s at %s: %s", v.GetNumber(), v.GetAuthor(), formatTime(v.GetAcceptedAt()), formatReason(v.GetReason()))
+	out.Line("%s, leader %s, term %d, commit index %d; as of %s, from %s", quorum, formatLeader(s.GetLeader()), s.GetTerm(), s.GetCommitIndex(), formatTime(s.GetAsOf()), s.GetServedBy())
 	unknown := fmt.Sprint(s.GetClaimsUnknown())
 	if s.GetClaimsUnknown() > 0 {
 		unknown = out.Warning(unknown)
@@ -105,17 +105,17 @@
 	out.Line("")
 }
 
-func nobody(name string) string {
+func formatLeader(name string) string {
 	if name == "" {
 		return "not known"
 	}
 	return name
 }
 
-// statusProblem returns the error of a status that does not show everything.
-func statusProblem(s *wire.StatusResponse, hosts []hostView) error {
+// statusError returns an error if the status is stale or hosts are silent.
+func statusError(s *wire.StatusResponse, hosts []hostView) error {
 	if !s.GetQuorum() {
-		return staleAnswer(s.GetAsOf())
+		return newStaleError(s.GetAsOf())
 	}
 	var silent []string
 	for _, h := range hosts {
@@ -123,5 +123,5 @@
 			silent = append(silent, h.Name)
 		}
 	}
-	return unheard(silent)
+	return silentHostsError(silent)
 }
--- a/snipebeam/command/submit.go
+++ b/snipebeam/command/submit.go
@@ -7,7 +7,7 @@
 type submitCommand struct {
 	File string  `arg:"" help:"Rules file, - for standard input." predictor:"file"`
 	Base *uint64 `help:"Version that the file was edited from; the one in force by default."`
-	submitting
+	submitFlags
 }
 
 // Run checks the file and submits it.
--- a/snipebeam/command/submitting.go
+++ b/snipebeam/command/submitflags.go
@@ -12,8 +12,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// submitting holds the flags of commands that submit.
-type submitting struct {
+// submitFlags holds the flags of commands that submit rules.
+type submitFlags struct {
 	Author       string        `help:"Who submits." env:"USER" default:"operator"`
 	Reason       string        `help:"Why." short:"m"`
 	Wait         bool          `help:"Wait until the version is in force on every host that is heard."`
@@ -26,14 +26,14 @@
 type proposal struct {
 	text       string
 	base       *uint64
-	name       string // of the text, for a person
+	name       string // of the text, in differences
 	rollbackOf uint64
 }
 
 // submissionView is the result of a submission in JSON.
 type submissionView struct {
 	Accepted     bool   `json:"accepted"`
-	Version      uint64 `json:"version"` // accepted one, or the winner of a refusal
+	Version      uint64 `json:"version"` // the accepted one, or the one in force after a refusal
 	SubmissionID string `json:"submissionId"`
 	Refusal      string `json:"refusal,omitempty"`
 	WinnerAuthor string `json:"winnerAuthor,omitempty"`
@@ -41,12 +41,12 @@
 	Difference   string `json:"difference,omitempty"`
 }
 
-func (s submitting) submit(g *Globals, p proposal) error {
+func (s submitFlags) submit(g *Globals, p proposal) error {
 	client, err := g.client()
 	if err != nil {
 		return err
 	}
-	pending, err := s.identify(client, g, p)
+	pending, err := s.pendingSubmission(client, g, p)
 	if err != nil {
 		return err
 	}
@@ -57,19 +57,20 @@
 		Author: s.Author, Reason: s.Reason, RollbackOf: p.rollbackOf,
 	})
 	if err != nil {
-		return s.unanswered(pending, err)
+		return s.submitError(pending, err)
 	}
 	if err := pending.Done(); err != nil {
 		return err
 	}
 	if !response.GetAccepted() {
-		return refused(g, p, pending, response)
+		return showRefused(g, p, pending, response)
 	}
-	return s.accepted(g, client, pending, response.GetVersion().GetNumber())
+	return s.showAccepted(g, client, pending, response.GetVersion().GetNumber())
 }
 
-// identify fixes the submission's identity and base before it is sent.
-func (s submitting) identify(client *control.Client, g *Globals, p proposal) (*submission.Pending, error) {
+// pendingSubmission determines the submission's id and base version before it is
+// sent. A stored submission of the same text is sent again as it was.
+func (s submitFlags) pendingSubmission(client *control.Client, g *Globals, p proposal) (*submission.Pending, error) {
 	folder := s.StateDir
 	if folder == "" {
 		folder = submission.DefaultFolder()
@@ -85,7 +86,7 @@
 			return pending, nil
 		}
 	}
-	base, err := s.base(client, g, p)
+	base, err := s.baseVersion(client, g, p)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +96,7 @@
 	return submission.New(folder, g.Control, content, base)
 }
 
-func (s submitting) base(client *control.Client, g *Globals, p proposal) (uint64, error) {
+func (s submitFlags) baseVersion(client *control.Client, g *Globals, p proposal) (uint64, error) {
 	if p.base != nil {
 		return *p.base, nil
 	}
@@ -105,29 +106,30 @@
 	return response.GetVersion().GetNumber(), errors.Wrap(err, "read the version in force")
 }
 
-// unanswered says what to do when no answer came.
-func (s submitting) unanswered(pending *submission.Pending, err error) error {
-	var failure *control.CallError
-	if errors.As(err, &failure) && !failure.OutcomeUnknown() {
+// submitError returns the error of a submission that got no response. Unless the
+// outcome is known, it names the command that sends the same submission again.
+func (s submitFlags) submitError(pending *submission.Pending, err error) error {
+	var callErr *control.CallError
+	if errors.As(err, &callErr) && !callErr.OutcomeUnknown() {
 		if doneErr := pending.Done(); doneErr != nil {
 			return doneErr
 		}
 		return errors.Wrap(err, "submit")
 	}
-	again := "run the same command again, it stays the same submission"
+	advice := "run the same command again, it stays the same submission"
 	if pending.Path() == "" {
-		again = "run it again with --submission-id " + pending.ID
+		advice = "run it again with --submission-id " + pending.ID
 	}
-	return errors.Wrapf(err, "the submission may have been accepted or not; %s, or look at \"snipebeam history\": submit", again)
+	return errors.Wrapf(err, "the submission may have been accepted or not; %s, or check \"snipebeam history\": submit", advice)
 }
 
-func refused(g *Globals, p proposal, pending *submission.Pending, response *wire.SubmitResponse) error {
+func showRefused(g *Globals, p proposal, pending *submission.Pending, response *wire.SubmitResponse) error {
 	winner := response.GetVersion()
 	out := g.out()
 	changes := ""
 	if winner != nil {
 		changes = difference.Unified(fmt.Sprintf("version %d, in force", winner.GetNumber()), response.GetWinnerText(), p.name, p.text)
-		out.Line("version %d is in force, by %s at %s: %s", winner.GetNumber(), winner.GetAuthor(), when(winner.GetAcceptedAt()), reasonOf(winner.GetReason()))
+		out.Line("version %d is in force, by %s at %s: %s", winner.GetNumber(), winner.GetAuthor(), formatTime(winner.GetAcceptedAt()), formatReason(winner.GetReason()))
 		out.Text(changes)
 	}
 	err := out.Show(submissionView{
@@ -141,46 +143,47 @@
 		response.GetRefusal(), winner.GetNumber(), winner.GetNumber())}
 }
 
-func (s submitting) accepted(g *Globals, client *control.Client, pending *submission.Pending, number uint64) error {
+func (s submitFlags) showAccepted(g *Globals, client *control.Client, pending *submission.Pending, number uint64) error {
 	out := g.out()
 	out.Line("accepted as version %d", number)
 	if s.Wait {
-		if err := s.wait(client, g, number); err != nil {
+		if err := s.waitInForce(client, g, number); err != nil {
 			return err
 		}
 	}
 	return out.Show(submissionView{Accepted: true, Version: number, SubmissionID: pending.ID}, nil)
 }
 
-// waitPoll is the pause between two looks at the hosts.
-const waitPoll = 100 * time.Millisecond
+// pollInterval is the pause between two reads of the hosts' state with --wait.
+const pollInterval = 100 * time.Millisecond
 
-// wait returns once the version is in force on every host that is heard.
-func (s submitting) wait(client *control.Client, g *Globals, number uint64) error {
+// waitInForce waits until the version is in force on every entry host that is
+// not silent, or until the time limit.
+func (s submitFlags) waitInForce(client *control.Client, g *Globals, number uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.WaitLimit)
 	defer cancel()
 	started := time.Now()
 	for {
 		status, err := client.Status(ctx)
 		if err == nil {
-			heard, behind, silent := progress(status, number)
+			inForce, behind, silent := rolloutProgress(status, number)
 			if len(behind) == 0 {
-				g.out().Line("in force on %d entry hosts after %s", heard, time.Since(started).Round(time.Millisecond))
-				return unheard(silent)
+				g.out().Line("in force on %d entry hosts after %s", inForce, time.Since(started).Round(time.Millisecond))
+				return silentHostsError(silent)
 			}
 			err = errors.Errorf("not yet in force on %v", behind)
 		}
 		select {
 		case <-ctx.Done():
-			return &StaleError{text: fmt.Sprintf("version %d is accepted, and after %s: %v (look at \"snipebeam status\")", number, s.WaitLimit, err)}
-		case <-time.After(waitPoll):
+			return &StaleError{text: fmt.Sprintf("version %d is accepted, and after %s: %v (see \"snipebeam status\")", number, s.WaitLimit, err)}
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// progress counts the entry hosts that are heard, and names those behind a
-// version and those silent.
-func progress(status *wire.StatusResponse, number uint64) (heard int, behind, silent []string) {
+// rolloutProgress counts the entry hosts that have reached a version, and returns
+// the names of those that are behind it and of those that are silent.
+func rolloutProgress(status *wire.StatusResponse, number uint64) (inForce int, behind, silent []string) {
 	for _, host := range status.GetHosts() {
 		switch {
 		case host.GetRole() != roleEntry:
@@ -189,13 +192,13 @@
 		case host.GetVersion() < number:
 			behind = append(behind, host.GetName())
 		default:
-			heard++
+			inForce++
 		}
 	}
-	return heard, behind, silent
+	return inForce, behind, silent
 }
 
-func unheard(names []string) error {
+func silentHostsError(names []string) error {
 	if len(names) == 0 {
 		return nil
 	}
--- a/snipebeam/command/watch.go
+++ b/snipebeam/command/watch.go
@@ -9,16 +9,16 @@
 	"github.com/snipebeam/snipebeam/snipebeam/terminal"
 )
 
-// watching holds the flags of commands that can show their answer again and
-// again.
-type watching struct {
+// watchFlags holds the flags of commands that can refresh their output
+// periodically.
+type watchFlags struct {
 	Watch bool          `help:"Show it again and again, until interrupted." short:"w"`
 	Every time.Duration `help:"Time between two rounds of --watch." default:"2s"`
 }
 
-// repeat shows once, or again and again; then a round that fails is told and
-// does not end the watch.
-func (f watching) repeat(g *Globals, show func(ctx context.Context, out *terminal.Output) error) error {
+// repeat calls show once or, with --watch, periodically until interrupted. A
+// failed round of a watch is printed and does not end it.
+func (f watchFlags) repeat(g *Globals, show func(ctx context.Context, out *terminal.Output) error) error {
 	out := g.out()
 	if !f.Watch {
 		ctx, cancel := g.context()
@@ -29,7 +29,7 @@
 	defer stop()
 	for {
 		out.Clear()
-		f.round(interrupted, g, out, show)
+		f.showRound(interrupted, g, out, show)
 		select {
 		case <-interrupted.Done():
 			return nil
@@ -38,7 +38,7 @@
 	}
 }
 
-func (watching) round(ctx context.Context, g *Globals, out *terminal.Output, show func(ctx context.Context, out *terminal.Output) error) {
+func (watchFlags) showRound(ctx context.Context, g *Globals, out *terminal.Output, show func(ctx context.Context, out *terminal.Output) error) {
 	ctx, cancel := context.WithTimeout(ctx, g.Timeout)
 	defer cancel()
 	if err := show(ctx, out); err != nil {
--- a/snipebeam/control/client.go
+++ b/snipebeam/control/client.go
@@ -1,6 +1,6 @@
-// Package control calls the control hosts on behalf of an operator. Any of
-// them may be asked: one that does not answer, or has no quorum, is passed
-// over for the next.
+// Package control is a client of the control hosts for the operators' commands.
+// Any control host can serve a call: if one does not respond or has no quorum,
+// the client fails over to the next.
 //
 // Usage:
 //
@@ -19,10 +19,10 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Times of calls.
+// Time limits: the default of a call, and the minimum of an attempt at one host.
 const (
-	defaultTimeout  = 10 * time.Second
-	shortestAttempt = time.Second
+	defaultTimeout    = 10 * time.Second
+	minAttemptTimeout = time.Second
 )
 
 type host struct {
@@ -32,7 +32,8 @@
 	group   wire.Group
 }
 
-// Client calls the control hosts in turn until one answers.
+// Client calls the control hosts in order until one gives an acceptable
+// response.
 type Client struct {
 	hosts   []host
 	timeout time.Duration
@@ -41,7 +42,7 @@
 // Option changes one property of a client.
 type Option func(*Client)
 
-// WithTimeout bounds each call, over all the hosts that it tries.
+// WithTimeout bounds each call, over all the hosts that it tries together.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
 // New returns a client of the control hosts at the addresses.
@@ -62,69 +63,70 @@
 	return c
 }
 
-// attempt returns how long one host may take.
-func (c *Client) attempt() time.Duration {
-	return max(c.timeout/time.Duration(max(len(c.hosts), 1)), shortestAttempt)
+// attemptTimeout returns the time limit of the attempt at one host: an equal
+// part of the timeout, but no less than the minimum.
+func (c *Client) attemptTimeout() time.Duration {
+	return max(c.timeout/time.Duration(max(len(c.hosts), 1)), minAttemptTimeout)
 }
 
-// try calls the hosts in turn until one gives an answer that is good, and
-// otherwise returns the first answer of all.
-func try[T any](ctx context.Context, c *Client, good func(T) bool, call func(context.Context, host) (T, error)) (T, error) {
+// tryHosts calls the hosts in order until one gives an acceptable response. If
+// none does, it returns the first response, or a CallError if there is none.
+func tryHosts[T any](ctx context.Context, c *Client, accept func(T) bool, call func(context.Context, host) (T, error)) (T, error) {
 	var first T
-	answered := false
-	failure := &CallError{}
+	responded := false
+	callErr := &CallError{}
 	for _, h := range c.hosts {
-		response, err := once(ctx, c.attempt(), h, call)
-		if err == nil && good(response) {
+		response, err := callHost(ctx, c.attemptTimeout(), h, call)
+		if err == nil && accept(response) {
 			return response, nil
 		}
-		if err == nil && !answered {
-			first, answered = response, true
+		if err == nil && !responded {
+			first, responded = response, true
 		}
 		if err != nil {
-			failure.add(h.address, err)
+			callErr.add(h.address, err)
 		}
-		if final(err) || ctx.Err() != nil {
+		if permanent(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	if answered {
+	if responded {
 		return first, nil
 	}
-	return first, failure
+	return first, callErr
 }
 
-func once[T any](ctx context.Context, limit time.Duration, h host, call func(context.Context, host) (T, error)) (T, error) {
+func callHost[T any](ctx context.Context, limit time.Duration, h host, call func(context.Context, host) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return call(ctx, h)
 }
 
-func always[T any](T) bool { return true }
+func acceptAny[T any](T) bool { return true }
 
-// final reports whether another host would say the same.
-func final(err error) bool {
+// permanent reports whether every other host would return the same error.
+func permanent(err error) bool {
 	var t twirp.Error
 	return errors.As(err, &t) && t.Code() == twirp.InvalidArgument
 }
 
-// Refused reports whether a control host answered that a call cannot be done
-// as things stand.
+// Refused reports whether a control host refused a call because of its current
+// state (code failed precondition).
 func Refused(err error) bool {
-	var failure *CallError
-	if !errors.As(err, &failure) {
+	var callErr *CallError
+	if !errors.As(err, &callErr) {
 		return false
 	}
-	for _, one := range failure.errs {
+	for _, hostErr := range callErr.errs {
 		var t twirp.Error
-		if errors.As(one, &t) && t.Code() == twirp.FailedPrecondition {
+		if errors.As(hostErr, &t) && t.Code() == twirp.FailedPrecondition {
 			return true
 		}
 	}
 	return false
 }
 
-// CallError is the error of a call that no control host answered.
+// CallError is the error of a call that got no response from any control host.
 type CallError struct {
 	hosts []string
 	errs  []error
@@ -135,7 +137,7 @@
 	f.errs = append(f.errs, err)
 }
 
-// Error lists what each host said, and what to do next.
+// Error lists the error of each host, followed by a hint what to do next.
 func (f *CallError) Error() string {
 	if len(f.errs) == 0 {
 		return "no control host is named (use --control or SNIPEBEAM_CONTROL)"
@@ -166,14 +168,14 @@
 	}
 }
 
-// Unwrap returns what the hosts said.
+// Unwrap returns the errors of the hosts.
 func (f *CallError) Unwrap() []error { return f.errs }
 
 // OutcomeUnknown reports whether the call may have been carried out although no
-// answer came.
+// host responded.
 func (f *CallError) OutcomeUnknown() bool {
 	for _, err := range f.errs {
-		if !final(err) {
+		if !permanent(err) {
 			return true
 		}
 	}
--- a/snipebeam/difference/difference.go
+++ b/snipebeam/difference/difference.go
@@ -13,48 +13,49 @@
 // contextLines is how many equal lines are shown around a change.
 const contextLines = 2
 
-// maxCells bounds the table of common lines; larger parts are shown as
-// removed and added whole.
-const maxCells = 16 << 20
+// maxLCSCells bounds the LCS table. Larger inputs are shown as removed and
+// added entirely.
+const maxLCSCells = 16 << 20
 
-type change byte
+type operation byte
 
 const (
-	equal   change = ' '
-	removed change = '-'
-	added   change = '+'
+	equal   operation = ' '
+	removed operation = '-'
+	added   operation = '+'
 )
 
-type step struct {
-	change change
-	line   string
+type edit struct {
+	op   operation
+	line string
 }
 
-// Unified returns the changes from one text to another in the unified format,
-// empty if there are none.
+// Unified returns the difference between two texts in the unified format, or an
+// empty string if they are equal.
 func Unified(oldName, oldText, newName, newText string) string {
-	steps := compare(split(oldText), split(newText))
-	hunks := group(steps)
+	edits := editScript(splitLines(oldText), splitLines(newText))
+	hunks := groupHunks(edits)
 	if len(hunks) == 0 {
 		return ""
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "--- %s\n+++ %s\n", oldName, newName)
 	for _, h := range hunks {
-		h.write(&b, steps)
+		h.write(&b, edits)
 	}
 	return b.String()
 }
 
-func split(text string) []string {
+func splitLines(text string) []string {
 	if text == "" {
 		return nil
 	}
 	return strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 }
 
-// compare returns the steps from one list of lines to another.
-func compare(a, b []string) []step {
+// editScript returns the edits that turn one list of lines into another. The
+// common prefix and suffix are stripped before the LCS is computed.
+func editScript(a, b []string) []edit {
 	head := 0
 	for head < len(a) && head < len(b) && a[head] == b[head] {
 		head++
@@ -63,45 +64,46 @@
 	for tail < len(a)-head && tail < len(b)-head && a[len(a)-1-tail] == b[len(b)-1-tail] {
 		tail++
 	}
-	steps := mark(nil, equal, a[:head])
-	steps = append(steps, middle(a[head:len(a)-tail], b[head:len(b)-tail])...)
-	return mark(steps, equal, a[len(a)-tail:])
+	edits := appendEdits(nil, equal, a[:head])
+	edits = append(edits, diffLCS(a[head:len(a)-tail], b[head:len(b)-tail])...)
+	return appendEdits(edits, equal, a[len(a)-tail:])
 }
 
-func mark(steps []step, c change, lines []string) []step {
+func appendEdits(edits []edit, op operation, lines []string) []edit {
 	for _, line := range lines {
-		steps = append(steps, step{change: c, line: line})
+		edits = append(edits, edit{op: op, line: line})
 	}
-	return steps
+	return edits
 }
 
-// middle keeps a longest common subsequence of the lines.
-func middle(a, b []string) []step {
-	if len(a)*len(b) > maxCells {
-		return mark(mark(nil, removed, a), added, b)
+// diffLCS returns an edit script that keeps a longest common subsequence of the
+// lines.
+func diffLCS(a, b []string) []edit {
+	if len(a)*len(b) > maxLCSCells {
+		return appendEdits(appendEdits(nil, removed, a), added, b)
 	}
-	lengths := commonLengths(a, b)
-	var steps []step
+	lengths := lcsLengths(a, b)
+	var edits []edit
 	i, j := 0, 0
 	for i < len(a) && j < len(b) {
 		switch {
 		case a[i] == b[j]:
-			steps = append(steps, step{equal, a[i]})
+			edits = append(edits, edit{equal, a[i]})
 			i, j = i+1, j+1
 		case lengths[i+1][j] >= lengths[i][j+1]:
-			steps = append(steps, step{removed, a[i]})
+			edits = append(edits, edit{removed, a[i]})
 			i++
 		default:
-			steps = append(steps, step{added, b[j]})
+			edits = append(edits, edit{added, b[j]})
 			j++
 		}
 	}
-	return mark(mark(steps, removed, a[i:]), added, b[j:])
+	return appendEdits(appendEdits(edits, removed, a[i:]), added, b[j:])
 }
 
-// commonLengths returns, for each pair of suffixes, the length of their
+// lcsLengths returns, for each pair of suffixes, the length of their
 // longest common subsequence.
-func commonLengths(a, b []string) [][]int32 {
+func lcsLengths(a, b []string) [][]int32 {
 	lengths := make([][]int32, len(a)+1)
 	for i := range lengths {
 		lengths[i] = make([]int32, len(b)+1)
@@ -118,16 +120,16 @@
 	return lengths
 }
 
-// hunk is a run of steps that are shown together.
+// hunk is a range of edits that are shown together.
 type hunk struct{ from, to int }
 
-func group(steps []step) []hunk {
+func groupHunks(edits []edit) []hunk {
 	var hunks []hunk
-	for n, s := range steps {
-		if s.change == equal {
+	for n, e := range edits {
+		if e.op == equal {
 			continue
 		}
-		from, to := max(n-contextLines, 0), min(n+contextLines+1, len(steps))
+		from, to := max(n-contextLines, 0), min(n+contextLines+1, len(edits))
 		if last := len(hunks) - 1; last >= 0 && from <= hunks[last].to {
 			hunks[last].to = to
 			continue
@@ -137,22 +139,23 @@
 	return hunks
 }
 
-func (h hunk) write(b *strings.Builder, steps []step) {
-	oldFrom, newFrom := count(steps[:h.from])
-	oldLines, newLines := count(steps[h.from:h.to])
+func (h hunk) write(b *strings.Builder, edits []edit) {
+	oldFrom, newFrom := countLines(edits[:h.from])
+	oldLines, newLines := countLines(edits[h.from:h.to])
 	fmt.Fprintf(b, "@@ -%d,%d +%d,%d @@\n", oldFrom+1, oldLines, newFrom+1, newLines)
-	for _, s := range steps[h.from:h.to] {
-		b.WriteString(string(s.change) + s.line + "\n")
+	for _, e := range edits[h.from:h.to] {
+		b.WriteString(string(e.op) + e.line + "\n")
 	}
 }
 
-// count returns how many lines of the old and the new text the steps take.
-func count(steps []step) (oldLines, newLines int) {
-	for _, s := range steps {
-		if s.change != added {
+// countLines returns how many lines of the old and the new text the edits
+// cover.
+func countLines(edits []edit) (oldLines, newLines int) {
+	for _, e := range edits {
+		if e.op != added {
 			oldLines++
 		}
-		if s.change != removed {
+		if e.op != removed {
 			newLines++
 		}
 	}
--- a/snipebeam/difference/difference_test.go
+++ b/snipebeam/difference/difference_test.go
@@ -12,16 +12,16 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
-func TestStepsRebuildBothTexts(t *testing.T) {
+func TestEditScriptRebuildsBothTexts(t *testing.T) {
 	lines := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", ""}), 0, 12)
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := lines.Draw(t, "a"), lines.Draw(t, "b")
 		var oldLines, newLines []string
-		for _, s := range compare(a, b) {
-			if s.change != added {
+		for _, s := range editScript(a, b) {
+			if s.op != added {
 				oldLines = append(oldLines, s.line)
 			}
-			if s.change != removed {
+			if s.op != removed {
 				newLines = append(newLines, s.line)
 			}
 		}
--- a/snipebeam/entry/backlog.go
+++ b/snipebeam/entry/backlog.go
@@ -7,8 +7,9 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Backlog is what waits and runs of one service, over all hosts that were
-// heard; with unheard hosts each count is a least one.
+// Backlog is the backlog of one service or of one of its instances, summed over
+// the hosts that responded. With AtLeast set, some hosts did not respond and
+// each count is a lower bound.
 type Backlog struct {
 	Service              string    `json:"service"`
 	Instance             string    `json:"instance,omitempty"`
@@ -27,7 +28,7 @@
 
 type backlogKey struct{ service, instance string }
 
-// MergeBacklogs adds up the lines of several hosts.
+// MergeBacklogs sums the lines of several hosts by service and instance.
 func MergeBacklogs(lines []*wire.ServiceBacklog, atLeast bool) []Backlog {
 	sums := map[backlogKey]*Backlog{}
 	for _, line := range lines {
--- a/snipebeam/entry/gather.go
+++ b/snipebeam/entry/gather.go
@@ -1,5 +1,5 @@
-// Package entry asks the entry hosts on behalf of an operator, all of them at
-// once, and says which of them did not answer.
+// Package entry is a client of the entry hosts for the operators' commands. It
+// calls all of them concurrently and reports which of them failed to respond.
 //
 // Usage:
 //
@@ -19,10 +19,10 @@
 )
 
 const (
-	// askLimit bounds the time that one host has to answer.
-	askLimit = 2 * time.Second
-	// maxAsked is how many hosts are asked at the same time.
-	maxAsked = 64
+	// callTimeout bounds the call to one host.
+	callTimeout = 2 * time.Second
+	// maxConcurrentCalls bounds the number of hosts that are called concurrently.
+	maxConcurrentCalls = 64
 )
 
 // Hosts returns the entry hosts of a status.
@@ -36,30 +36,30 @@
 	return all
 }
 
-// Response is what one host said.
+// Response is the response of one host.
 type Response[T any] struct {
 	Host  string
 	Value T
 }
 
-// Gathered holds the answers of the hosts that were heard, in the order in
-// which they were asked.
+// Gathered holds the responses of the hosts that responded, in the order of the
+// hosts, and the names of those that failed.
 type Gathered[T any] struct {
 	Responses []Response[T]
 	Failed    []string
-	Err       error // what the last unheard host said
+	Err       error // of the last host that failed
 }
 
-// Gather asks all hosts at once.
+// Gather calls all hosts concurrently, up to a limit, and waits for every one.
 func Gather[T any](ctx context.Context, client *http.Client, hosts []*wire.HostReport, call func(context.Context, wire.Entry) (T, error)) Gathered[T] {
 	values := make([]T, len(hosts))
 	errs := make([]error, len(hosts))
-	open := make(chan struct{}, maxAsked)
+	sem := make(chan struct{}, maxConcurrentCalls)
 	var group sync.WaitGroup
 	for n, host := range hosts {
-		open <- struct{}{}
+		sem <- struct{}{}
 		group.Go(func() {
-			defer func() { <-open }()
+			defer func() { <-sem }()
 			values[n], errs[n] = Call(ctx, client, host, call)
 		})
 	}
@@ -76,9 +76,9 @@
 	return g
 }
 
-// Call asks one host.
+// Call calls one host.
 func Call[T any](ctx context.Context, client *http.Client, host *wire.HostReport, call func(context.Context, wire.Entry) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return call(ctx, wire.NewEntryProtobufClient("http://"+host.GetPeersAddress(), client))
 }
--- a/snipebeam/entry/instances.go
+++ b/snipebeam/entry/instances.go
@@ -7,41 +7,41 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Instance is one instance as the entry hosts see it together.
+// Instance is the merged view that the entry hosts have of one instance.
 type Instance struct {
 	ID              string   `json:"id"`
 	Service         string   `json:"service"`
 	Zone            string   `json:"zone"`
 	Address         string   `json:"address"`
-	State           string   `json:"state"` // the worst that any host sees
+	State           string   `json:"state"` // most severe on any host
 	Slots           uint32   `json:"slots"`
-	InFlight        uint32   `json:"inFlight"` // of all hosts
-	Reported        uint32   `json:"reported"` // by the instance itself, at the newest report
+	InFlight        uint32   `json:"inFlight"` // sum over the hosts
+	Reported        uint32   `json:"reported"` // load in the latest report of the instance itself
 	ReportAgeMs     float64  `json:"reportAgeMs"`
-	LatencyMs       float64  `json:"latencyMs"` // largest of any host
+	LatencyMs       float64  `json:"latencyMs"` // maximum over the hosts
 	ErrorsPerSecond float64  `json:"errorsPerSecond"`
 	SeenBy          []string `json:"seenBy"`
 	AtLeast         bool     `json:"atLeast"`
 }
 
-// badness orders the states of an instance.
-var badness = map[string]int{"ready": 0, "cold": 1, "draining": 2, "ejected": 3, "silent": 4}
+// stateSeverity ranks the states of an instance.
+var stateSeverity = map[string]int{"ready": 0, "cold": 1, "draining": 2, "ejected": 3, "silent": 4}
 
-// MergeInstances puts together what several hosts see of each instance.
-func MergeInstances(answers []Response[*wire.InstancesResponse], atLeast bool) []Instance {
+// MergeInstances merges the views that several hosts have of each instance.
+func MergeInstances(responses []Response[*wire.InstancesResponse], atLeast bool) []Instance {
 	byID := map[string]*Instance{}
-	for _, answer := range answers {
-		for _, view := range answer.Value.GetInstances() {
+	for _, response := range responses {
+		for _, view := range response.Value.GetInstances() {
 			id := view.GetInstance().GetId()
 			if byID[id] == nil {
 				byID[id] = newInstance(view, atLeast)
 			}
-			byID[id].add(answer.Host, view)
+			byID[id].add(response.Host, view)
 		}
 	}
 	all := make([]Instance, 0, len(byID))
-	for _, one := range byID {
-		all = append(all, *one)
+	for _, instance := range byID {
+		all = append(all, *instance)
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].Service != all[j].Service {
@@ -65,7 +65,7 @@
 	i.InFlight += view.GetInFlight()
 	i.LatencyMs = max(i.LatencyMs, view.GetLatencyNs()/float64(time.Millisecond))
 	i.ErrorsPerSecond += view.GetErrorsPerS()
-	if badness[view.GetState()] > badness[i.State] {
+	if stateSeverity[view.GetState()] > stateSeverity[i.State] {
 		i.State = view.GetState()
 	}
 	age := float64(view.GetReportAgeNs()) / float64(time.Millisecond)
--- a/snipebeam/main.go
+++ b/snipebeam/main.go
@@ -1,4 +1,5 @@
-// Command snipebeam is the operators' tool.
+// Command snipebeam is the operators' command line: it checks, submits and reads
+// rules, and shows the state of control hosts, entry hosts and instances.
 package main
 
 import (
--- a/snipebeam/report/chart.go
+++ b/snipebeam/report/chart.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	chartWidth  = 24 * vg.Centimeter
-	chartHeight = 7 * vg.Centimeter
-	timeFormat  = "15:04:05"
-	legendRoom  = 1.3 // of the highest value
+	chartWidth     = 24 * vg.Centimeter
+	chartHeight    = 7 * vg.Centimeter
+	timeFormat     = "15:04:05"
+	legendHeadroom = 1.3 // factor on the highest value, leaves space for the legend
 )
 
-var changeColor = color.RGBA{R: 120, G: 120, B: 120, A: 255}
+var ruleChangeColor = color.RGBA{R: 120, G: 120, B: 120, A: 255}
 
-// chart draws series over the span as an SVG element; each event is a vertical
-// line.
+// chart draws the series over the time span as an SVG element, with a vertical
+// line at each rule change.
 func chart(title, unit string, all []series, from, to time.Time, changes []Event) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Label.Text = unit
 	p.Y.Min = 0
 	p.X.Tick.Marker = plot.TimeTicks{Format: timeFormat, Time: plot.UTCUnixTime}
-	p.X.Min, p.X.Max = unix(from), unix(to)
+	p.X.Min, p.X.Max = unixSeconds(from), unixSeconds(to)
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for n, s := range all {
@@ -40,16 +40,16 @@
 			return "", err
 		}
 	}
-	p.X.Min, p.X.Max = unix(from), unix(to)
+	p.X.Min, p.X.Max = unixSeconds(from), unixSeconds(to)
 	if p.Y.Max <= p.Y.Min {
 		p.Y.Max = p.Y.Min + 1
 	}
-	p.Y.Max *= legendRoom
-	for _, one := range changes {
-		if one.At.Before(from) || one.At.After(to) {
+	p.Y.Max *= legendHeadroom
+	for _, event := range changes {
+		if event.At.Before(from) || event.At.After(to) {
 			continue
 		}
-		if err := addChange(p, one); err != nil {
+		if err := addRuleChange(p, event); err != nil {
 			return "", err
 		}
 	}
@@ -59,7 +59,7 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", errors.Wrap(err, "draw chart")
 	}
-	return template.HTML(withoutProlog(out.Bytes())), nil
+	return template.HTML(trimProlog(out.Bytes())), nil
 }
 
 func addSeries(p *plot.Plot, n int, s series) error {
@@ -68,10 +68,10 @@
 	}
 	points := make(plotter.XYs, len(s.values))
 	for i, v := range s.values {
-		points[i] = plotter.XY{X: unix(v.at), Y: v.value}
+		points[i] = plotter.XY{X: unixSeconds(v.at), Y: v.value}
 	}
-	if s.marks {
-		return addMarks(p, n, s.name, points)
+	if s.scatter {
+		return addScatter(p, n, s.name, points)
 	}
 	l, err := plotter.NewLine(points)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func addMarks(p *plot.Plot, n int, name string, points plotter.XYs) error {
+func addScatter(p *plot.Plot, n int, name string, points plotter.XYs) error {
 	marks, err := plotter.NewScatter(points)
 	if err != nil {
 		return errors.Wrap(err, "draw "+name)
@@ -94,23 +94,24 @@
 	return nil
 }
 
-func addChange(p *plot.Plot, one Event) error {
-	x := unix(one.At)
+func addRuleChange(p *plot.Plot, event Event) error {
+	x := unixSeconds(event.At)
 	l, err := plotter.NewLine(plotter.XYs{{X: x, Y: p.Y.Min}, {X: x, Y: p.Y.Max}})
 	if err != nil {
 		return errors.Wrap(err, "draw rule change")
 	}
-	l.Color = changeColor
+	l.Color = ruleChangeColor
 	l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(l)
 	return nil
 }
 
-// unix returns a time in seconds, as the time axis wants it.
-func unix(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Second) }
+// unixSeconds returns a time in Unix seconds, the unit of the time axis.
+func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Second) }
 
-// withoutProlog cuts what may not stand inside an HTML page.
-func withoutProlog(svg []byte) []byte {
+// trimProlog removes what precedes the SVG element: an XML declaration is not
+// valid inside an HTML page.
+func trimProlog(svg []byte) []byte {
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
 		return svg[at:]
 	}
--- a/snipebeam/report/page.go
+++ b/snipebeam/report/page.go
@@ -41,7 +41,7 @@
 	Events   []Event
 }
 
-// WritePage writes the whole page.
+// WritePage writes the HTML page. It fails if no request was read.
 func (h *History) WritePage(w io.Writer) error {
 	if h.Empty() {
 		return errors.New("the logs hold no request of this time; check the span and the service")
@@ -61,11 +61,11 @@
 
 func (h *History) charts(from, to time.Time) ([]template.HTML, error) {
 	var changes []Event
-	for _, change := range h.changes {
+	for _, change := range h.ruleChanges {
 		changes = append(changes, change)
 	}
 	var all []template.HTML
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		title, unit string
 		series      []series
 	}{
@@ -74,7 +74,7 @@
 		{"Requests present", "requests", h.backlogSeries()},
 		{"Probes", "a second", h.probeSeries()},
 	} {
-		drawn, err := chart(one.title, one.unit, one.series, from, to, changes)
+		drawn, err := chart(spec.title, spec.unit, spec.series, from, to, changes)
 		if err != nil {
 			return nil, err
 		}
--- a/snipebeam/report/report.go
+++ b/snipebeam/report/report.go
@@ -1,5 +1,5 @@
-// Package report draws what entry hosts logged over a span of time as one HTML
-// page that needs no network: latency percentiles, rates, backlog, probes and
+// Package report renders the logs of entry hosts over a time span as one
+// self-contained HTML page: latency percentiles, rates, backlog, probes and
 // rule changes on the same time axis.
 //
 // Usage:
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 )
 
-// buckets is how many points each series has.
-const buckets = 120
+// bucketCount is the number of points in each series.
+const bucketCount = 120
 
 // maxLineBytes bounds one log line.
 const maxLineBytes = 1 << 20
@@ -28,8 +28,8 @@
 // outcomeAnswer is the outcome of a request that was answered.
 const outcomeAnswer = "answer"
 
-// line is one log line, as far as the report needs it.
-type line struct {
+// logLine holds the fields of a log line that the report uses.
+type logLine struct {
 	At       time.Time `json:"@timestamp"`
 	Message  string    `json:"@message"`
 	Service  string    `json:"service"`
@@ -50,7 +50,7 @@
 	WaitedNs  int64     `json:"waitedNs"`
 }
 
-// request is one request that was logged.
+// request is one logged request.
 type request struct {
 	at       time.Time
 	service  string
@@ -58,24 +58,24 @@
 	answered bool
 }
 
-// Event is something that happened at a moment.
+// Event is a rule change or a backlog alarm.
 type Event struct {
 	At   time.Time
 	Text string
 }
 
-// History holds what was read from log files.
+// History holds the entries read from log files.
 type History struct {
-	from     time.Time
-	to       time.Time
-	service  string
-	requests []request
-	backlog  []point
-	probes   []time.Time
-	changes  map[uint64]Event // the first host that put a version in force
-	growths  []Event
-	skipped  int
-	lines    int
+	from        time.Time
+	to          time.Time
+	service     string
+	requests    []request
+	backlog     []point
+	probes      []time.Time
+	ruleChanges map[uint64]Event // by version: when the first host put it in force
+	alarms      []Event
+	skipped     int
+	lines       int
 }
 
 type point struct {
@@ -83,56 +83,57 @@
 	value float64
 }
 
-// NewHistory returns an empty history of a span; zero times leave it open, an
-// empty service takes all.
+// NewHistory returns an empty history of a time span. A zero time leaves that
+// end of the span open; an empty service selects all services.
 func NewHistory(from, to time.Time, service string) *History {
-	return &History{from: from, to: to, service: service, changes: map[uint64]Event{}}
+	return &History{from: from, to: to, service: service, ruleChanges: map[uint64]Event{}}
 }
 
-// Read adds one log file. Lines that cannot be read are counted.
+// Read adds the entries of one log file. Lines that are not valid JSON are
+// skipped and counted.
 func (h *History) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
-		var one line
-		if err := json.Unmarshal(scanner.Bytes(), &one); err != nil {
+		var entry logLine
+		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			h.skipped++
 			continue
 		}
 		h.lines++
-		h.add(&one)
+		h.add(&entry)
 	}
 	return errors.Wrap(scanner.Err(), "read log")
 }
 
-// Empty reports whether no request of the span was read.
+// Empty reports whether no request in the time span was read.
 func (h *History) Empty() bool { return len(h.requests) == 0 }
 
-func (h *History) add(one *line) {
-	if !h.covers(one.At) {
+func (h *History) add(entry *logLine) {
+	if !h.inSpan(entry.At) {
 		return
 	}
-	switch one.Message {
+	switch entry.Message {
 	case "route":
-		h.addRequest(one)
+		h.addRequest(entry)
 	case "backlog grows", "backlog cleared":
-		h.addBacklog(one)
+		h.addBacklog(entry)
 	case "probe":
-		h.probes = append(h.probes, one.At)
+		h.probes = append(h.probes, entry.At)
 	case "version in force":
-		h.addChange(one)
+		h.addRuleChange(entry)
 	}
 }
 
-func (h *History) covers(at time.Time) bool {
+func (h *History) inSpan(at time.Time) bool {
 	return (h.from.IsZero() || !at.Before(h.from)) && (h.to.IsZero() || !at.After(h.to))
 }
 
-func (h *History) wants(service string) bool { return h.service == "" || h.service == service }
+func (h *History) matchesService(service string) bool { return h.service == "" || h.service == service }
 
-func (h *History) addRequest(one *line) {
-	d := one.Decision
-	if d == nil || !h.wants(d.Service) {
+func (h *History) addRequest(entry *logLine) {
+	d := entry.Decision
+	if d == nil || !h.matchesService(d.Service) {
 		return
 	}
 	h.requests = append(h.requests, request{
@@ -140,29 +141,29 @@
 	})
 }
 
-func (h *History) addBacklog(one *line) {
-	if !h.wants(one.Service) {
+func (h *History) addBacklog(entry *logLine) {
+	if !h.matchesService(entry.Service) {
 		return
 	}
-	h.backlog = append(h.backlog, point{at: one.At, value: one.Present})
-	text := one.Message + ": " + one.Service + " " + one.Instance + " (" + one.Cause + "), owner " + one.Owner
-	h.growths = append(h.growths, Event{At: one.At, Text: text})
+	h.backlog = append(h.backlog, point{at: entry.At, value: entry.Present})
+	text := entry.Message + ": " + entry.Service + " " + entry.Instance + " (" + entry.Cause + "), owner " + entry.Owner
+	h.alarms = append(h.alarms, Event{At: entry.At, Text: text})
 }
 
-func (h *History) addChange(one *line) {
-	first, seen := h.changes[one.Version]
-	if seen && !one.At.Before(first.At) {
+func (h *History) addRuleChange(entry *logLine) {
+	first, seen := h.ruleChanges[entry.Version]
+	if seen && !entry.At.Before(first.At) {
 		return
 	}
-	h.changes[one.Version] = Event{At: one.At, Text: versionText(one.Version, one.Author)}
+	h.ruleChanges[entry.Version] = Event{At: entry.At, Text: versionText(entry.Version, entry.Author)}
 }
 
-// Events returns rule changes and backlog alarms in order of time.
+// Events returns the rule changes and backlog alarms in chronological order.
 func (h *History) Events() []Event {
-	all := append([]Event(nil), h.growths...)
-	for _, change := range h.changes {
-		all = append(all, change)
+	events := append([]Event(nil), h.alarms...)
+	for _, event := range h.ruleChanges {
+		events = append(events, event)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].At.Before(all[j].At) })
-	return all
+	sort.Slice(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
+	return events
 }
--- a/snipebeam/report/report_test.go
+++ b/snipebeam/report/report_test.go
@@ -14,18 +14,18 @@
 
 var begin = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
-const logged = 2000
+const requestCount = 2000
 
-// logFile returns the log of an entry host over 100 s, with a rule change and
-// a backlog alarm in it.
+// logFile returns the log of an entry host over 100 s that contains a rule
+// change, a backlog alarm and a line that is not JSON.
 func logFile(t *testing.T) *bytes.Buffer {
 	random := rand.New(rand.NewPCG(1, 2))
 	var out bytes.Buffer
 	write := func(fields map[string]any) { must.NoError(t, json.NewEncoder(&out).Encode(fields)) }
-	for n := range logged {
+	for n := range requestCount {
 		at := begin.Add(time.Duration(n) * 50 * time.Millisecond)
 		latency := 3e6 + random.ExpFloat64()*4e6
-		if n > logged/2 && n < logged*6/10 {
+		if n > requestCount/2 && n < requestCount*6/10 {
 			latency *= 8
 		}
 		write(map[string]any{"@timestamp": at, "@message": "route", "decision": map[string]any{
@@ -41,7 +41,7 @@
 	return &out
 }
 
-func TestPageHoldsChartsAndEventsAndNeedsNoNetwork(t *testing.T) {
+func TestPageContainsChartsAndEventsAndLoadsNothing(t *testing.T) {
 	history := report.NewHistory(time.Time{}, time.Time{}, "")
 	must.NoError(t, history.Read(logFile(t)))
 	var page bytes.Buffer
@@ -56,7 +56,7 @@
 	must.StrNotContains(t, text, "src=")
 }
 
-func TestASpanWithoutRequestsIsSaid(t *testing.T) {
+func TestWritePageFailsWithoutRequestsInSpan(t *testing.T) {
 	history := report.NewHistory(begin.Add(time.Hour), time.Time{}, "")
 	must.NoError(t, history.Read(logFile(t)))
 	must.ErrorContains(t, history.WritePage(&bytes.Buffer{}), "no request of this time")
--- a/snipebeam/submission/submission.go
+++ b/snipebeam/submission/submission.go
@@ -1,6 +1,7 @@
-// Package submission gives each submission its identity before it is first
-// sent, and keeps it in a small file until its result is known: the same file
-// submitted again after a lost answer is the same submission.
+// Package submission assigns each submission its id before it is first sent and
+// stores it in a small file until the result is known. A rules file that is
+// submitted again after a lost response is sent under the same id, so that the
+// control hosts treat it as the same submission.
 //
 // Usage:
 //
@@ -22,10 +23,10 @@
 	"github.com/pkg/errors"
 )
 
-// Pending is a submission whose result is not known yet.
+// Pending is a submission whose result is not yet known.
 type Pending struct {
 	path string
-	// Retry reports that it was sent before and its answer was lost.
+	// Retry reports that the submission was sent before and its response was lost.
 	Retry bool `json:"-"`
 
 	ID   string    `json:"submissionId"`
@@ -33,7 +34,8 @@
 	At   time.Time `json:"at"`
 }
 
-// DefaultFolder returns where submissions are kept by default.
+// DefaultFolder returns the default folder of pending submissions, in the user's
+// cache folder.
 func DefaultFolder() string {
 	cache, err := os.UserCacheDir()
 	if err != nil {
@@ -42,10 +44,10 @@
 	return filepath.Join(cache, "snipebeam", "submissions")
 }
 
-// Find returns the pending submission of a text to a group of control hosts,
-// or nil.
+// Find returns the pending submission of a text to these control hosts, or nil
+// if there is none.
 func Find(folder string, hosts []string, text string) (*Pending, error) {
-	path := pathOf(folder, hosts, text)
+	path := pendingPath(folder, hosts, text)
 	data, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -55,17 +57,17 @@
 	}
 	p := &Pending{path: path, Retry: true}
 	if err := json.Unmarshal(data, p); err != nil || p.ID == "" {
-		return nil, errors.Errorf("the pending submission in %s cannot be read; remove it if the change is not in \"snipebeam history\"", path)
+		return nil, errors.Errorf("the pending submission in %s cannot be read; remove the file if the change is not in \"snipebeam history\"", path)
 	}
 	return p, nil
 }
 
-// New fixes the identity of a submission on top of a base version, and writes
-// it down.
+// New assigns a new id to a submission based on a version, and writes it to the
+// folder.
 func New(folder string, hosts []string, text string, base uint64) (*Pending, error) {
-	p := &Pending{path: pathOf(folder, hosts, text), ID: uuid.NewString(), Base: base, At: time.Now()}
+	p := &Pending{path: pendingPath(folder, hosts, text), ID: uuid.NewString(), Base: base, At: time.Now()}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, errors.Wrap(err, "make folder for pending submissions")
+		return nil, errors.Wrap(err, "create folder for pending submissions")
 	}
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -89,21 +91,21 @@
 	return errors.Wrap(err, "write pending submission")
 }
 
-func pathOf(folder string, hosts []string, text string) string {
+func pendingPath(folder string, hosts []string, text string) string {
 	sum := xxhash.Sum64String(strings.Join(hosts, ",") + "\x00" + text)
 	return filepath.Join(folder, fmt.Sprintf("%016x.json", sum))
 }
 
-// Path returns the file that keeps the submission.
+// Path returns the file that stores the submission; empty if it is not stored.
 func (p *Pending) Path() string { return p.path }
 
-// Done forgets the submission, whose result is known.
+// Done removes the stored submission once its result is known.
 func (p *Pending) Done() error {
 	if p.path == "" {
 		return nil
 	}
 	if err := os.Remove(p.path); err != nil && !os.IsNotExist(err) {
-		return errors.Wrap(err, "forget pending submission")
+		return errors.Wrap(err, "remove pending submission")
 	}
 	return nil
 }
--- a/snipebeam/terminal/terminal.go
+++ b/snipebeam/terminal/terminal.go
@@ -1,5 +1,5 @@
-// Package terminal writes tables for a person and JSON for scripts. Colour is
-// used only on a terminal.
+// Package terminal writes the results of commands: tables for a person, JSON
+// for a script. Colour is used only on a terminal.
 //
 // Usage:
 //
@@ -19,16 +19,16 @@
 	"github.com/pkg/errors"
 )
 
-// Formats of the output.
+// Output formats.
 const (
 	Table = "table"
 	JSON  = "json"
 )
 
-// clearScreen moves to the top left and clears what is below (ECMA-48).
+// clearScreen moves the cursor to the top left and clears the screen (ECMA-48).
 const clearScreen = "\x1b[H\x1b[2J"
 
-// Output is where a command's result goes.
+// Output writes the result of a command in one format.
 type Output struct {
 	w      io.Writer
 	format string
@@ -46,29 +46,30 @@
 // JSON reports whether the output is for a script.
 func (o *Output) JSON() bool { return o.format == JSON }
 
-// Line writes one line to a person; scripts do not get it.
+// Line writes one formatted line; it writes nothing in JSON format.
 func (o *Output) Line(format string, args ...any) {
 	if !o.JSON() {
 		fmt.Fprintf(o.w, format+"\n", args...)
 	}
 }
 
-// Text writes text as it is to a person.
+// Text writes text unchanged; it writes nothing in JSON format.
 func (o *Output) Text(s string) {
 	if !o.JSON() {
 		fmt.Fprint(o.w, s)
 	}
 }
 
-// Clear clears the screen before the next round of a watch, on a terminal.
+// Clear clears the screen before the next refresh of --watch. It does nothing
+// in JSON format or if colour is off.
 func (o *Output) Clear() {
 	if o.colour && !o.JSON() {
 		fmt.Fprint(o.w, clearScreen)
 	}
 }
 
-// Show writes the value as one line of JSON to a script, or the rows to a
-// person.
+// Show writes the value as one line of JSON, or the rows as a table, depending
+// on the format. Rows may be nil.
 func (o *Output) Show(value any, rows *Rows) error {
 	if o.JSON() {
 		return errors.Wrap(json.NewEncoder(o.w).Encode(value), "write JSON")
@@ -79,16 +80,16 @@
 	return nil
 }
 
-// Good marks a text that needs no attention.
-func (o *Output) Good(s string) string { return o.paint(text.FgGreen, s) }
+// Good colours a text that needs no attention.
+func (o *Output) Good(s string) string { return o.colourize(text.FgGreen, s) }
 
-// Bad marks a text that needs attention.
-func (o *Output) Bad(s string) string { return o.paint(text.FgRed, s) }
+// Bad colours a text that needs attention.
+func (o *Output) Bad(s string) string { return o.colourize(text.FgRed, s) }
 
-// Warning marks a text that may need attention.
-func (o *Output) Warning(s string) string { return o.paint(text.FgYellow, s) }
+// Warning colours a text that may need attention.
+func (o *Output) Warning(s string) string { return o.colourize(text.FgYellow, s) }
 
-// State marks the state of a host or an instance.
+// State colours the state of a host or an instance.
 func (o *Output) State(s string) string {
 	switch s {
 	case "ready":
@@ -100,7 +101,7 @@
 	}
 }
 
-func (o *Output) paint(colour text.Color, s string) string {
+func (o *Output) colourize(colour text.Color, s string) string {
 	if !o.colour {
 		return s
 	}
@@ -114,8 +115,8 @@
 	n      int
 }
 
-// NewTable returns a table with a head.
-func NewTable(head ...any) *Rows {
+// NewTable returns a table with a header row.
+func NewTable(header ...any) *Rows {
 	w := table.NewWriter()
 	style := table.StyleDefault
 	style.Options = table.OptionsNoBordersAndSeparators
@@ -124,11 +125,11 @@
 	style.Format.Header = text.FormatUpper
 	w.SetStyle(style)
 	w.SuppressTrailingSpaces()
-	w.AppendHeader(head)
+	w.AppendHeader(header)
 	return &Rows{writer: w}
 }
 
-// Empty sets what is written in place of a table without rows.
+// Empty sets the line that is written if the table has no rows.
 func (r *Rows) Empty(line string) *Rows {
 	r.empty = line
 	return r
