--- a/bench/route/virtual/run.go
+++ b/bench/route/virtual/run.go
@@ -131,7 +131,7 @@
 
 // answer is what callers are told. A scenario with Active above 1 stands for a
 // rate that one host does not carry.
-func (f *fleet) answer() placement.Answer {
+func (f *fleet) answer() placement.Selection {
 	plan := placement.Plan{Spread: f.scenario.Spread, HostRate: hostRate, Rate: hostRate * float64(f.scenario.Active)}
 	return placement.Choose(f.reports, service, "", plan)
 }
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -21,8 +21,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Lifetime is how long callers keep an answer.
-const Lifetime = 2 * time.Second
+// TTL is how long callers keep an answer.
+const TTL = 2 * time.Second
 
 // maxHosts is how many entry hosts one answer names at most.
 const maxHosts = 64
@@ -51,8 +51,8 @@
 // takes, 0 for no bound.
 func WithHostRate(rate float64) Option { return func(d *Directory) { d.hostRate = rate } }
 
-// WithLeast sets how many entry hosts serve a service at least.
-func WithLeast(n int) Option { return func(d *Directory) { d.least = n } }
+// WithMinHosts sets how many entry hosts serve a service at least.
+func WithMinHosts(n int) Option { return func(d *Directory) { d.least = n } }
 
 // New returns a directory.
 func New(machine *state.Machine, hosts *fleet.Fleet, opts ...Option) *Directory {
@@ -70,12 +70,12 @@
 	if len(services) == 0 {
 		return nil, false
 	}
-	entries := d.fleet.Reached(time.Now())
+	entries := d.fleet.Polling(time.Now())
 	demand := d.demand(entries)
 	if few := demand.hosts(services); few <= placement.Zones(entries) {
 		return placement.Choose(entries, services[0], zone, placement.Plan{Spread: max(few, d.least)}).Hosts(), true
 	}
-	return placement.Near(entries, zone, d.pool(host, demand, entries)), true
+	return placement.ChooseFromPool(entries, zone, d.pool(host, demand, entries)), true
 }
 
 // pool returns which entry hosts callers of a name share with others.
@@ -84,18 +84,18 @@
 	all, bulk := d.set.Services(), d.set.Bulk(strings.ToLower(host))
 	d.mu.Unlock()
 	light, large := demand.pools(all)
-	pool := placement.Pool{N: light, Most: maxHosts, Bulk: bulk}
+	pool := placement.Pool{Size: light, MaxHosts: maxHosts, Bulk: bulk}
 	if bulk {
 		// No other requests wait there; each zone rounds up.
-		pool.N = max(large, len(entries)-light-placement.Zones(entries)+1)
+		pool.Size = max(large, len(entries)-light-placement.Zones(entries)+1)
 	}
 	return pool
 }
 
-// Active returns the largest number of entry hosts that any name is served by.
-func (d *Directory) Active() int {
+// ActiveHosts returns the largest number of entry hosts that any name is served by.
+func (d *Directory) ActiveHosts() int {
 	most := d.least
-	entries := d.fleet.Reached(time.Now())
+	entries := d.fleet.Polling(time.Now())
 	demand := d.demand(entries)
 	for _, services := range d.allTogether() {
 		most = max(most, min(demand.hosts(services), len(entries)))
@@ -121,12 +121,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.set == nil || version.GetNumber() > d.number {
-		d.set, _ = rule.ReadChange(d.set, "rules", text)
+		d.set, _ = rule.ReadIncremental(d.set, "rules", text)
 		d.number, d.groups = version.GetNumber(), map[string][]string{}
 	}
 	services, known := d.groups[host]
 	if !known && d.set.HasHost(host) {
-		services = d.set.Together(host)
+		services = d.set.LinkedServices(host)
 		d.groups[host] = services
 	}
 	return services
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -23,7 +23,7 @@
 	m, f := state.New(), fleet.New()
 	m.Apply(&wire.Command{Body: &wire.Command_Submit{Submit: &wire.SubmitRequest{SubmissionId: "1", Number: 7, Text: text}}})
 	for n := range hosts {
-		f.Enter(&wire.HostReport{
+		f.BeginPoll(&wire.HostReport{
 			Name: fmt.Sprintf("e%d", n), Role: "entry", State: "ready", Zone: fmt.Sprint("z", n%3), RateCapacity: capacity,
 			Backlog: []*wire.ServiceBacklog{{Service: "photos", ArrivalsPerS: rate / float64(hosts)}},
 		}, time.Now())
@@ -57,7 +57,7 @@
 	for _, host := range hosts {
 		must.Eq(t, "z0", host.GetZone())
 	}
-	must.Eq(t, 10, d.Active())
+	must.Eq(t, 10, d.ActiveHosts())
 	alone, _ := d.Resolve("c.example", "z0")
 	must.Len(t, 1, alone)
 	elsewhere, _ := d.Resolve("a.example", "unknown")
@@ -81,7 +81,7 @@
 `}}})
 	const hosts = 60
 	for n := range hosts {
-		f.Enter(&wire.HostReport{
+		f.BeginPoll(&wire.HostReport{
 			Name: fmt.Sprintf("e%d", n), Role: "entry", State: "ready", Zone: fmt.Sprint("z", n%3), RateCapacity: 100, ByteCapacity: 27_500,
 			Backlog: []*wire.ServiceBacklog{
 				{Service: "shop", ArrivalsPerS: 500. / hosts, BytesPerS: 500_000. / hosts},
@@ -101,9 +101,9 @@
 
 func TestAHostThatDoesNotPollIsNotNamed(t *testing.T) {
 	f := fleet.New()
-	_, leave := f.Enter(&wire.HostReport{Name: "e", Role: "entry", State: "ready"}, time.Now())
-	must.Len(t, 1, f.Reached(time.Now().Add(time.Hour)))
+	_, leave := f.BeginPoll(&wire.HostReport{Name: "e", Role: "entry", State: "ready"}, time.Now())
+	must.Len(t, 1, f.Polling(time.Now().Add(time.Hour)))
 	leave()
-	must.Len(t, 1, f.Reached(time.Now()))
-	must.SliceEmpty(t, f.Reached(time.Now().Add(2*fleet.ReachedAfter)))
+	must.Len(t, 1, f.Polling(time.Now()))
+	must.SliceEmpty(t, f.Polling(time.Now().Add(2*fleet.PollGrace)))
 }
--- a/control/fleet/fleet.go
+++ b/control/fleet/fleet.go
@@ -66,10 +66,10 @@
 	return previous
 }
 
-// Enter stores the report of a host that begins to poll, as Report does. The
+// BeginPoll stores the report of a host that begins to poll, as Report does. The
 // host counts as reached until the poll has ended, and for ReachedAfter from
 // then on.
-func (f *Fleet) Enter(report *wire.HostReport, now time.Time) (previous *wire.HostReport, leave func()) {
+func (f *Fleet) BeginPoll(report *wire.HostReport, now time.Time) (previous *wire.HostReport, leave func()) {
 	previous = f.Report(report, now)
 	f.suspects.add(report.GetSuspects())
 	name := report.GetName()
@@ -88,18 +88,18 @@
 	}
 }
 
-// ReachedAfter is how long after its last poll a host still counts as reached:
+// PollGrace is how long after its last poll a host still counts as reached:
 // the pause between two polls and the way there, with a margin for busy hosts.
-const ReachedAfter = 500 * time.Millisecond
+const PollGrace = 500 * time.Millisecond
 
-// Reached returns the latest reports of the hosts that poll this control host
+// Polling returns the latest reports of the hosts that poll this control host
 // now, in order of names.
-func (f *Fleet) Reached(now time.Time) []*wire.HostReport {
+func (f *Fleet) Polling(now time.Time) []*wire.HostReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []*wire.HostReport
 	for name, report := range f.reports {
-		if f.polls[name] > 0 || now.Sub(f.heard[name]) <= ReachedAfter {
+		if f.polls[name] > 0 || now.Sub(f.heard[name]) <= PollGrace {
 			all = append(all, report)
 		}
 	}
--- a/control/fleet/suspects.go
+++ b/control/fleet/suspects.go
@@ -70,8 +70,8 @@
 	return slices.Clone(s.all[first:]), s.revision
 }
 
-// Told returns a channel that is closed when a suspect changes.
-func (f *Fleet) Told() <-chan struct{} {
+// SuspectsChanged returns a channel that is closed when a suspect changes.
+func (f *Fleet) SuspectsChanged() <-chan struct{} {
 	f.suspects.mu.Lock()
 	defer f.suspects.mu.Unlock()
 	return f.suspects.told
--- a/control/fleet/suspects_test.go
+++ b/control/fleet/suspects_test.go
@@ -11,9 +11,9 @@
 
 func TestSuspectsAreMergedAndToldOnce(t *testing.T) {
 	f := fleet.New()
-	told := f.Told()
+	told := f.SuspectsChanged()
 	report := func(instances ...string) {
-		f.Enter(&wire.HostReport{Name: "e", Suspects: []*wire.Suspect{{Fingerprint: 7, Instances: instances}}}, time.Now())
+		f.BeginPoll(&wire.HostReport{Name: "e", Suspects: []*wire.Suspect{{Fingerprint: 7, Instances: instances}}}, time.Now())
 	}
 	report("a")
 	select {
--- a/control/host/host.go
+++ b/control/host/host.go
@@ -63,7 +63,7 @@
 }
 
 func newRules(cfg *settings.Settings, log agreement.Log, machine *state.Machine, hosts *fleet.Fleet, names *directory.Directory) *operator.Rules {
-	return operator.New(cfg.Host.Name, log, machine, hosts).WithZone(cfg.Host.Zone).WithNames(names)
+	return operator.New(cfg.Host.Name, log, machine, hosts).WithZone(cfg.Host.Zone).WithDirectory(names)
 }
 
 func newRing(cfg *settings.Settings) (*key.Ring, error) { return key.Load(cfg.Keys.Peers) }
--- a/control/host/listener.go
+++ b/control/host/listener.go
@@ -59,7 +59,7 @@
 }
 
 func newDirectory(cfg *settings.Settings, machine *state.Machine, hosts *fleet.Fleet) *directory.Directory {
-	return directory.New(machine, hosts, directory.WithHostRate(cfg.Directory.HostRate), directory.WithLeast(cfg.Directory.LeastHosts))
+	return directory.New(machine, hosts, directory.WithHostRate(cfg.Directory.HostRate), directory.WithMinHosts(cfg.Directory.LeastHosts))
 }
 
 func runInstances(lc fx.Lifecycle, instances *upstream.Instances) {
--- a/control/operator/rules.go
+++ b/control/operator/rules.go
@@ -33,7 +33,7 @@
 type Rules struct {
 	name    string
 	zone    string
-	names   Names // nil: watchers are not told of names
+	names   Directory // nil: watchers are not told of names
 	log     agreement.Log
 	machine *state.Machine
 	fleet   *fleet.Fleet
@@ -48,14 +48,14 @@
 	return &Rules{name: name, log: log, machine: machine, fleet: hosts, shared: newConfirmer(log)}
 }
 
-// Names tells how entry hosts divide what callers of names ask for.
-type Names interface {
-	// Active returns the largest number of entry hosts that serve one name.
-	Active() int
+// Directory tells how entry hosts divide what callers of names ask for.
+type Directory interface {
+	// ActiveHosts returns the largest number of entry hosts that serve one name.
+	ActiveHosts() int
 }
 
-// WithNames sets how watchers are told what part they have.
-func (s *Rules) WithNames(names Names) *Rules {
+// WithDirectory sets how watchers are told what part they have.
+func (s *Rules) WithDirectory(names Directory) *Rules {
 	s.names = names
 	return s
 }
@@ -74,7 +74,7 @@
 	if len(req.GetText()) > maxTextBytes {
 		return nil, twirp.InvalidArgumentError("text", fmt.Sprintf("is larger than %d bytes", maxTextBytes))
 	}
-	set, findings := rule.ParseChange(s.checked.Load(), "rules", req.GetText())
+	set, findings := rule.ParseIncremental(s.checked.Load(), "rules", req.GetText())
 	if err := findings.Err(); err != nil {
 		return nil, twirp.InvalidArgumentError("text", err.Error())
 	}
--- a/control/operator/watch.go
+++ b/control/operator/watch.go
@@ -26,7 +26,7 @@
 // quorum: what this host applied was committed, so it is or was in force. An
 // answer is stale when no quorum said that nothing newer is.
 func (s *Rules) Watch(ctx context.Context, req *wire.WatchRequest) (*wire.WatchResponse, error) {
-	previous, leave := s.fleet.Enter(req.GetReport(), time.Now())
+	previous, leave := s.fleet.BeginPoll(req.GetReport(), time.Now())
 	defer leave()
 	newer := s.await(ctx, req)
 	if ctx.Err() != nil {
@@ -72,7 +72,7 @@
 		return
 	}
 	if s.names != nil {
-		response.ActiveHosts = uint32(s.names.Active())
+		response.ActiveHosts = uint32(s.names.ActiveHosts())
 	}
 	response.Instances, response.InstancesRevision = s.machine.Instances(req.GetKnownInstances())
 	response.Suspects, response.SuspectsRevision = s.fleet.Suspects(req.GetKnownSuspects())
@@ -88,7 +88,7 @@
 	defer timer.Stop()
 	lost := s.quorumLost(ctx, req)
 	for {
-		changed, told := s.machine.Changed(), s.fleet.Told()
+		changed, told := s.machine.Changed(), s.fleet.SuspectsChanged()
 		if s.newer(req) {
 			return true
 		}
@@ -193,7 +193,7 @@
 	if older == "" && from > 0 {
 		return nil // no longer kept
 	}
-	data, err := delta.Make(older, newer)
+	data, err := delta.Diff(older, newer)
 	if err != nil {
 		return nil
 	}
--- a/control/upstream/upstream.go
+++ b/control/upstream/upstream.go
@@ -72,9 +72,9 @@
 	return i
 }
 
-// Hear takes an announcement. It returns once what the announcement changes is
+// Announce takes an announcement. It returns once what the announcement changes is
 // committed; an error says that this is not certain.
-func (i *Instances) Hear(ctx context.Context, m *wire.Instance) error {
+func (i *Instances) Announce(ctx context.Context, m *wire.Instance) error {
 	m.HeardBy = i.name
 	if !state.ChangesRecord(i.machine.Instance(m.GetId()), m) {
 		if !i.log.Status().Quorum() {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Gone takes an instance's word that it leaves.
-func (i *Instances) Gone(ctx context.Context, m *wire.Instance) error {
+// Withdraw takes an instance's word that it leaves.
+func (i *Instances) Withdraw(ctx context.Context, m *wire.Instance) error {
 	m.HeardBy, m.Gone, m.Left, m.Draining = i.name, true, true, true
 	result, err := i.announce(ctx, m)
 	if err != nil {
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -174,13 +174,13 @@
 func (h *Handler) match(c *call) *outcome.Problem {
 	inForce := h.cfg.Table.Current()
 	c.version = inForce.Number()
-	if !h.cfg.Table.Learned() {
+	if !h.cfg.Table.Confirmed() {
 		return outcome.New(outcome.NotRun, outcome.NotReady, "this host has not learned the rules in force yet")
 	}
-	if host := rule.HostOf(c.r); inForce.Set().HasHost(host) {
+	if host := rule.RequestHost(c.r); inForce.Set().HasHost(host) {
 		return h.matchHost(c, inForce.Set(), host)
 	}
-	if !inForce.Set().Knows(c.service) {
+	if !inForce.Set().HasService(c.service) {
 		return outcome.New(outcome.NotRun, outcome.UnknownService, "no rule names the service "+strconv.Quote(c.service))
 	}
 	c.rule = inForce.Set().Match(c.service, c.r.Method, c.r.URL.EscapedPath(), c.r.Header)
@@ -194,7 +194,7 @@
 // rule's services by weight.
 func (h *Handler) matchHost(c *call, set *rule.Set, host string) *outcome.Problem {
 	c.service = ""
-	c.rule = set.At(host, c.r.URL.EscapedPath())
+	c.rule = set.MatchHost(host, c.r.URL.EscapedPath())
 	if c.rule == nil {
 		return outcome.New(outcome.NotRun, outcome.NoRule, "no rule of "+host+" matches "+c.r.URL.Path)
 	}
--- a/entry/dns/dns.go
+++ b/entry/dns/dns.go
@@ -26,7 +26,7 @@
 	Ready() bool
 	// Service returns the hosts for a service; known is false if no rule names
 	// it.
-	Service(name string) (answer placement.Answer, known bool)
+	Service(name string) (answer placement.Selection, known bool)
 	// Host returns an entry host by its name, or nil.
 	Host(name string) *wire.HostReport
 }
--- a/entry/dns/dns_test.go
+++ b/entry/dns/dns_test.go
@@ -22,11 +22,11 @@
 
 func (d *fakeDirectory) Ready() bool { return d.ready }
 
-func (d *fakeDirectory) Service(name string) (placement.Answer, bool) {
+func (d *fakeDirectory) Service(name string) (placement.Selection, bool) {
 	if name != "a" {
-		return placement.Answer{}, false
+		return placement.Selection{}, false
 	}
-	return placement.NewAnswer(d.hosts, len(d.hosts)-d.spares), true
+	return placement.NewSelection(d.hosts, len(d.hosts)-d.spares), true
 }
 
 func (d *fakeDirectory) Host(name string) *wire.HostReport {
--- a/entry/host/directory.go
+++ b/entry/host/directory.go
@@ -19,15 +19,15 @@
 }
 
 // Ready reports whether this host knows the rules in force.
-func (d *directory) Ready() bool { return d.table.Learned() }
+func (d *directory) Ready() bool { return d.table.Confirmed() }
 
 // Service returns the hosts for a service.
-func (d *directory) Service(name string) (placement.Answer, bool) {
+func (d *directory) Service(name string) (placement.Selection, bool) {
 	set := d.table.Current().Set()
-	if !set.Knows(name) {
-		return placement.Answer{}, false
+	if !set.HasService(name) {
+		return placement.Selection{}, false
 	}
-	plan := placement.Plan{Spread: set.Terms(name).Spread(), HostRate: d.hostRate, Rate: d.rates.Of(name)}
+	plan := placement.Plan{Spread: set.Terms(name).Spread(), HostRate: d.hostRate, Rate: d.rates.ArrivalRate(name)}
 	return placement.Choose(d.entries(), name, d.zone, plan), true
 }
 
@@ -37,7 +37,7 @@
 	if d.hostRate == 0 {
 		return 1
 	}
-	return 1 / float64(placement.ActiveCount(d.rates.Of(service), d.hostRate))
+	return 1 / float64(placement.ActiveCount(d.rates.ArrivalRate(service), d.hostRate))
 }
 
 // Host returns an entry host by its name, or nil.
--- a/entry/rules/rules.go
+++ b/entry/rules/rules.go
@@ -73,9 +73,9 @@
 	return 0
 }
 
-// Learned reports whether a quorum confirmed a version since this host
+// Confirmed reports whether a quorum confirmed a version since this host
 // started. Until then the host does not know which version is in force.
-func (t *Table) Learned() bool { return t.Current().Number() > 0 && t.confirmedAt.Load() != nil }
+func (t *Table) Confirmed() bool { return t.Current().Number() > 0 && t.confirmedAt.Load() != nil }
 
 // Confirm records that a quorum confirmed a version at a time. A version that
 // is older than the one in force says nothing.
@@ -95,7 +95,7 @@
 	if version.GetNumber() <= t.Current().Number() {
 		return false, nil
 	}
-	set, findings := rule.ReadChange(t.Current().Set(), "rules", text)
+	set, findings := rule.ReadIncremental(t.Current().Set(), "rules", text)
 	if err := findings.Err(); err != nil {
 		return false, errors.Wrapf(err, "read version %d", version.GetNumber())
 	}
--- a/world/contract/service.go
+++ b/world/contract/service.go
@@ -4,14 +4,14 @@
 
 // Defaults of a service that no service line names.
 const (
-	DefaultProbeBudget    = 0.01 // share of slot time
-	DefaultBacklogCount   = 50
-	DefaultBacklogAge     = 2 * time.Second
-	DefaultSpread         = 3 // entry hosts that serve one service in a zone group
-	DefaultRetryBudget    = 0.1
-	DefaultServiceOwner   = "nobody named"
-	DefaultServiceLimit   = 0
-	DefaultServiceMaxRate = 0
+	DefaultProbeBudget     = 0.01 // share of slot time
+	DefaultBacklogCount    = 50
+	DefaultBacklogAge      = 2 * time.Second
+	DefaultSpread          = 3 // entry hosts that serve one service in a zone group
+	DefaultRetryBudget     = 0.1
+	DefaultServiceOwner    = "nobody named"
+	DefaultServiceInFlight = 0
+	DefaultServiceRate     = 0
 )
 
 // Service holds the terms that bind a whole service. It is immutable.
@@ -42,7 +42,7 @@
 		name: name, owner: DefaultServiceOwner, probeBudget: DefaultProbeBudget,
 		backlogCount: DefaultBacklogCount, backlogAge: DefaultBacklogAge,
 		spread: DefaultSpread, retryBudget: DefaultRetryBudget,
-		inFlight: DefaultServiceLimit, rate: DefaultServiceMaxRate,
+		inFlight: DefaultServiceInFlight, rate: DefaultServiceRate,
 	}
 	for _, opt := range opts {
 		opt(s)
--- a/world/delta/delta.go
+++ b/world/delta/delta.go
@@ -32,8 +32,8 @@
 // Digest returns the digest of a text: xxhash64 in hex.
 func Digest(text string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(text)) }
 
-// Make returns the encoded difference from an older text to a newer one.
-func Make(older, newer string) ([]byte, error) {
+// Diff returns the encoded difference from an older text to a newer one.
+func Diff(older, newer string) ([]byte, error) {
 	m := &maker{older: lines(older), places: map[string]int{}}
 	for n := len(m.older) - 1; n >= 0; n-- {
 		m.places[m.older[n]] = n
--- a/world/delta/delta_test.go
+++ b/world/delta/delta_test.go
@@ -20,7 +20,7 @@
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		older, newer := text.Draw(t, "older"), text.Draw(t, "newer")
-		data, err := delta.Make(older, newer)
+		data, err := delta.Diff(older, newer)
 		must.NoError(t, err)
 		got, err := delta.Apply(older, data)
 		must.NoError(t, err)
@@ -40,13 +40,13 @@
 	older := strings.Join(rules, "")
 	rules[700] = "route s700: deadline 1s # Luc: new\n"
 	newer := strings.Join(append(rules[:900], rules[901:]...), "")
-	data, err := delta.Make(older, newer)
+	data, err := delta.Diff(older, newer)
 	must.NoError(t, err)
 	must.Less(t, 200, len(data))
 }
 
 func FuzzApply(f *testing.F) {
-	data, _ := delta.Make("a\nb\n", "a\nc\n")
+	data, _ := delta.Diff("a\nb\n", "a\nc\n")
 	f.Add("a\nb\n", data)
 	f.Fuzz(func(_ *testing.T, older string, data []byte) { _, _ = delta.Apply(older, data) })
 }
--- a/world/placement/placement.go
+++ b/world/placement/placement.go
@@ -32,57 +32,57 @@
 	HostRate float64 // requests a second that one host takes of a service, 0 for no bound
 }
 
-// Answer is the hosts that a caller uses for a service.
-type Answer struct {
+// Selection is the hosts that a caller uses for a service.
+type Selection struct {
 	hosts  []*wire.HostReport
 	active int
 }
 
-// NewAnswer returns an answer of hosts, of which the first ones are active.
-func NewAnswer(hosts []*wire.HostReport, active int) Answer {
-	return Answer{hosts: hosts, active: active}
+// NewSelection returns an answer of hosts, of which the first ones are active.
+func NewSelection(hosts []*wire.HostReport, active int) Selection {
+	return Selection{hosts: hosts, active: active}
 }
 
 // Hosts returns the active hosts, then the spares.
-func (a Answer) Hosts() []*wire.HostReport { return a.hosts }
+func (a Selection) Hosts() []*wire.HostReport { return a.hosts }
 
 // Active returns the hosts that callers use as long as they can be reached.
-func (a Answer) Active() []*wire.HostReport { return a.hosts[:a.active] }
+func (a Selection) Active() []*wire.HostReport { return a.hosts[:a.active] }
 
 // Spares returns the hosts used in their order when no active one is reached.
-func (a Answer) Spares() []*wire.HostReport { return a.hosts[a.active:] }
+func (a Selection) Spares() []*wire.HostReport { return a.hosts[a.active:] }
 
 // Choose returns the hosts for a service: ranked by rendezvous hashing, so
 // that every entry host gives the same answer and the loss of one host moves
 // only its own services; each next one in a zone that is not yet named.
-func Choose(entries []*wire.HostReport, service, zone string, plan Plan) Answer {
+func Choose(entries []*wire.HostReport, service, zone string, plan Plan) Selection {
 	ranked := rank(entries, service)
 	hosts := overZones(ranked, max(plan.Spread, 1))
 	active := min(ActiveCount(plan.Rate, plan.HostRate), len(hosts))
 	sort.SliceStable(hosts[:active], func(i, j int) bool {
 		return hosts[i].GetZone() == zone && hosts[j].GetZone() != zone
 	})
-	return NewAnswer(hosts, active)
+	return NewSelection(hosts, active)
 }
 
 // Pool is the entry hosts that many names share where a few hosts a service
 // cannot carry the requests.
 type Pool struct {
-	N    int  // hosts of all zones together
-	Most int  // hosts of one answer
-	Bulk bool // for large bodies, which keep others on a thin link waiting
+	Size     int  // hosts of all zones together
+	MaxHosts int  // hosts of one answer
+	Bulk     bool // for large bodies, which keep others on a thin link waiting
 }
 
-// Near returns a pool's entry hosts for callers in a zone: those of that zone, so
+// ChooseFromPool returns a pool's entry hosts for callers in a zone: those of that zone, so
 // that bodies do not cross zones, and others where the zone has too few. The
 // hosts for large bodies are others than those for small ones as long as there
 // are enough.
-func Near(entries []*wire.HostReport, zone string, p Pool) []*wire.HostReport {
+func ChooseFromPool(entries []*wire.HostReport, zone string, p Pool) []*wire.HostReport {
 	ranked := rank(entries, "")
 	if p.Bulk {
 		slices.Reverse(ranked)
 	}
-	n := min(max((p.N+max(Zones(ranked), 1)-1)/max(Zones(ranked), 1), 1), p.Most, len(ranked))
+	n := min(max((p.Size+max(Zones(ranked), 1)-1)/max(Zones(ranked), 1), 1), p.MaxHosts, len(ranked))
 	slices.SortStableFunc(ranked, func(a, b *wire.HostReport) int {
 		switch {
 		case (a.GetZone() == zone) == (b.GetZone() == zone):
--- a/world/placement/placement_test.go
+++ b/world/placement/placement_test.go
@@ -76,11 +76,11 @@
 
 func TestRatesAreReplacedWhole(t *testing.T) {
 	rates := placement.NewRates()
-	must.Zero(t, rates.Of("catalogue"))
+	must.Zero(t, rates.ArrivalRate("catalogue"))
 	rates.Store([]*wire.ServiceRate{{Service: "catalogue", ArrivalsPerS: 7}})
-	must.Eq(t, 7, rates.Of("catalogue"))
+	must.Eq(t, 7, rates.ArrivalRate("catalogue"))
 	rates.Store([]*wire.ServiceRate{{Service: "orders", ArrivalsPerS: 3}})
-	must.Zero(t, rates.Of("catalogue"))
+	must.Zero(t, rates.ArrivalRate("catalogue"))
 }
 
 func TestHostsThatAreNotReadyAreNotNamed(t *testing.T) {
--- a/world/placement/rate.go
+++ b/world/placement/rate.go
@@ -24,8 +24,8 @@
 	r.current.Store(&next)
 }
 
-// Of returns the arrivals a second of a service, 0 if unknown.
-func (r *Rates) Of(service string) float64 {
+// ArrivalRate returns the arrivals a second of a service, 0 if unknown.
+func (r *Rates) ArrivalRate(service string) float64 {
 	current := r.current.Load()
 	if current == nil {
 		return 0
--- a/world/rule/alike_test.go
+++ b/world/rule/alike_test.go
@@ -33,8 +33,8 @@
 			failed += own.Len()
 			for _, host := range []string{"a.example", "b.example", "c.example"} {
 				for _, path := range prefixes {
-					r := alone.At(host, path+"z")
-					other := together.At(host, path+"z")
+					r := alone.MatchHost(host, path+"z")
+					other := together.MatchHost(host, path+"z")
 					if r == nil || other == nil || other.Place() != r.Place() {
 						continue // a line before it has the same prefix
 					}
@@ -53,5 +53,5 @@
 func TestRoutesWithLimitsOfCallersDoNotShareThem(t *testing.T) {
 	set, findings := rule.Read("rules", "route a at a.example /x/: callerLimit 3 # M: y\nroute a at a.example /y/: callerLimit 3 # M: y")
 	must.Zero(t, findings.Len())
-	must.False(t, set.At("a.example", "/x/1").Contract() == set.At("a.example", "/y/1").Contract())
+	must.False(t, set.MatchHost("a.example", "/x/1").Contract() == set.MatchHost("a.example", "/y/1").Contract())
 }
--- a/world/rule/at.go
+++ b/world/rule/at.go
@@ -58,8 +58,8 @@
 	p.set.hosts[r.host] = append(p.set.hosts[r.host], r)
 }
 
-// HostOf returns the host of a request without its port, in lower case.
-func HostOf(r *http.Request) string {
+// RequestHost returns the host of a request without its port, in lower case.
+func RequestHost(r *http.Request) string {
 	host := r.Host
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/world/rule/parse.go
+++ b/world/rule/parse.go
@@ -16,12 +16,12 @@
 
 // Parse reads and checks a rules file. All findings are reported together; the
 // set holds the lines that could be read.
-func Parse(file, text string) (*Set, finding.List) { return ParseChange(nil, file, text) }
+func Parse(file, text string) (*Set, finding.List) { return ParseIncremental(nil, file, text) }
 
-// ParseChange is Parse for a file that is much like one that was read before:
+// ParseIncremental is Parse for a file that is much like one that was read before:
 // lines that stand in both are not parsed again.
-func ParseChange(before *Set, file, text string) (*Set, finding.List) {
-	set, findings := ReadChange(before, file, text)
+func ParseIncremental(before *Set, file, text string) (*Set, finding.List) {
+	set, findings := ReadIncremental(before, file, text)
 	findings.Merge(lint(set))
 	return set, findings
 }
@@ -29,11 +29,11 @@
 // Read reads a rules file that was checked when it was submitted: what is well
 // formed is taken, so that a version once accepted stays usable when a later
 // release checks more.
-func Read(file, text string) (*Set, finding.List) { return ReadChange(nil, file, text) }
+func Read(file, text string) (*Set, finding.List) { return ReadIncremental(nil, file, text) }
 
-// ReadChange is Read for a file that is much like one that was read before:
+// ReadIncremental is Read for a file that is much like one that was read before:
 // lines that stand in both are not parsed again.
-func ReadChange(before *Set, file, text string) (*Set, finding.List) {
+func ReadIncremental(before *Set, file, text string) (*Set, finding.List) {
 	p := newParser(file)
 	if !p.fits(text) {
 		return p.set, p.findings
@@ -268,7 +268,7 @@
 }
 
 func (p *parser) know(service string) {
-	if !p.set.Knows(service) {
+	if !p.set.HasService(service) {
 		p.set.order = append(p.set.order, service)
 	}
 }
--- a/world/rule/property_test.go
+++ b/world/rule/property_test.go
@@ -117,7 +117,7 @@
 		before, _ := rule.Read("rules", drawFile(t))
 		text := drawFile(t)
 		whole, wholeFindings := rule.Read("rules", text)
-		change, changeFindings := rule.ReadChange(before, "rules", text)
+		change, changeFindings := rule.ReadIncremental(before, "rules", text)
 		must.Eq(t, placed(whole), placed(change))
 		must.Eq(t, places(wholeFindings), places(changeFindings))
 	})
--- a/world/rule/rule.go
+++ b/world/rule/rule.go
@@ -204,17 +204,17 @@
 // Routes returns the route lines of a service in the order of the file.
 func (s *Set) Routes(service string) []*Rule { return s.routes[service] }
 
-// Knows reports whether any line names the service.
-func (s *Set) Knows(service string) bool {
+// HasService reports whether any line names the service.
+func (s *Set) HasService(service string) bool {
 	return s.services[service] != nil || len(s.routes[service]) > 0 || s.targets[service]
 }
 
 // HasHost reports whether any rule is for requests to a host.
 func (s *Set) HasHost(host string) bool { return len(s.hosts[host]) > 0 }
 
-// At returns the rule of a host with the longest prefix of a path, or nil. The
+// MatchHost returns the rule of a host with the longest prefix of a path, or nil. The
 // path is escaped, as it stands in the request.
-func (s *Set) At(host, escapedPath string) *Rule {
+func (s *Set) MatchHost(host, escapedPath string) *Rule {
 	for _, r := range s.hosts[host] {
 		if strings.HasPrefix(escapedPath, r.prefix) {
 			return r
@@ -228,11 +228,11 @@
 	return slices.ContainsFunc(s.hosts[host], func(r *Rule) bool { return r.Contract().Bulk() })
 }
 
-// Together returns the services to which requests to a host may go, and those
+// LinkedServices returns the services to which requests to a host may go, and those
 // that share a host with any of them, and so on, in order. Entry hosts that
 // serve all of them know all requests for each. There are none if no rule is
 // for the host.
-func (s *Set) Together(host string) []string {
+func (s *Set) LinkedServices(host string) []string {
 	if !s.HasHost(host) {
 		return nil
 	}
