--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -53,7 +53,7 @@
 	WrongResponses int            `json:"wrongAnswers"`
 }
 
-type addressAnswer struct {
+type addressResponse struct {
 	TTLSeconds float64 `json:"ttlSeconds"`
 	Addresses  []struct {
 		Address string `json:"address"`
@@ -68,27 +68,27 @@
 	mu        sync.Mutex
 	active    []string
 	spares    []string // used in their order when no active one can be reached
-	freshTill time.Time
+	expiresAt time.Time
 	histogram *hdrhistogram.Histogram
 	summary   Summary
 }
 
 const (
-	highestMicros   = 120_000_000
-	significant     = 3
-	requestTimeout  = 2 * time.Minute
-	defaultMaxOpen  = 1000
-	microsPerMs     = 1000.0
-	outcomeNoAnswer = "no-answer"
+	maxLatencyMicros   = 120_000_000
+	significantDigits  = 3
+	requestTimeout     = 2 * time.Minute
+	defaultMaxInFlight = 1000
+	microsPerMs        = 1000.0
+	outcomeNoResponse  = "no-answer"
 )
 
 // Run loads a service until the duration or the context ends.
 func Run(ctx context.Context, cfg Config) Summary {
 	if cfg.MaxInFlight == 0 {
-		cfg.MaxInFlight = defaultMaxOpen
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	l := &loader{
-		cfg: cfg, histogram: hdrhistogram.New(1, highestMicros, significant),
+		cfg: cfg, histogram: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxInFlight}},
 	}
 	l.summary.Outcomes = map[string]int{}
@@ -96,7 +96,7 @@
 	defer cancel()
 	go l.progress(ctx)
 	l.load(ctx)
-	return l.result()
+	return l.snapshot()
 }
 
 // progressInterval is the time between two calls of Config.Progress.
@@ -114,7 +114,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			l.cfg.Progress(time.Since(started), l.result())
+			l.cfg.Progress(time.Since(started), l.snapshot())
 		}
 	}
 }
@@ -134,12 +134,12 @@
 		open <- struct{}{}
 		group.Go(func() {
 			defer func() { <-open }()
-			l.one()
+			l.sendOne()
 		})
 	}
 }
 
-func (l *loader) one() {
+func (l *loader) sendOne() {
 	started := time.Now()
 	result, wrong := l.call()
 	took := time.Since(started)
@@ -150,7 +150,7 @@
 	if wrong {
 		l.summary.WrongResponses++
 	}
-	_ = l.histogram.RecordValue(min(took.Microseconds(), highestMicros))
+	_ = l.histogram.RecordValue(min(took.Microseconds(), maxLatencyMicros))
 }
 
 // call sends one request and returns its outcome, and whether the answer was
@@ -171,11 +171,11 @@
 		req.Header.Set(l.cfg.IdempotencyHeader, id)
 	}
 	response, err := l.client.Do(req)
-	if notConnected(err) && l.avoid(address) {
+	if dialFailed(err) && l.dropAddress(address) {
 		return l.call()
 	}
 	if err != nil {
-		return outcomeNoAnswer, false
+		return outcomeNoResponse, false
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
@@ -189,9 +189,9 @@
 	return result, result == "answer" && !bytes.Contains(data, []byte(id))
 }
 
-// notConnected reports whether nothing was sent because the host could not be
+// dialFailed reports whether nothing was sent because the host could not be
 // reached.
-func notConnected(err error) bool {
+func dialFailed(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
 }
@@ -208,8 +208,8 @@
 func (l *loader) address() (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Now().After(l.freshTill) {
-		l.ask()
+	if time.Now().After(l.expiresAt) {
+		l.refreshAddresses()
 	}
 	if len(l.active) == 0 {
 		return "", errors.New("no entry host was named")
@@ -217,9 +217,9 @@
 	return l.active[rand.IntN(len(l.active))], nil
 }
 
-// avoid leaves out an address that could not be reached and reports whether
+// dropAddress leaves out an address that could not be reached and reports whether
 // another one is left.
-func (l *loader) avoid(address string) bool {
+func (l *loader) dropAddress(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.active = slices.DeleteFunc(l.active, func(one string) bool { return one == address })
@@ -229,9 +229,9 @@
 	return len(l.active) > 0
 }
 
-func (l *loader) ask() {
+func (l *loader) refreshAddresses() {
 	for _, n := range rand.Perm(len(l.cfg.EntryAddresses)) {
-		answer, err := l.askOne(l.cfg.EntryAddresses[n])
+		answer, err := l.fetchAddresses(l.cfg.EntryAddresses[n])
 		if err != nil || len(answer.Addresses) == 0 {
 			continue
 		}
@@ -243,22 +243,22 @@
 				l.active = append(l.active, one.Address)
 			}
 		}
-		l.freshTill = time.Now().Add(time.Duration(answer.TTLSeconds * float64(time.Second)))
+		l.expiresAt = time.Now().Add(time.Duration(answer.TTLSeconds * float64(time.Second)))
 		return
 	}
 }
 
-func (l *loader) askOne(platform string) (*addressAnswer, error) {
+func (l *loader) fetchAddresses(platform string) (*addressResponse, error) {
 	response, err := l.client.Get("http://" + platform + "/v1/addresses/" + l.cfg.Service + "?zone=" + l.cfg.Zone)
 	if err != nil {
 		return nil, errors.Wrap(err, "ask for addresses")
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer := &addressAnswer{}
+	answer := &addressResponse{}
 	return answer, errors.Wrap(json.NewDecoder(response.Body).Decode(answer), "read addresses")
 }
 
-func (l *loader) result() Summary {
+func (l *loader) snapshot() Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / microsPerMs }
--- a/standin/upstream/announce.go
+++ b/standin/upstream/announce.go
@@ -34,22 +34,22 @@
 	Sequence    uint64 `json:"sequence"`
 }
 
-// lease is what an entry host answers.
-type lease struct {
+// announceResponse is what an entry host answers.
+type announceResponse struct {
 	Alternates []string `json:"alternates"`
 }
 
 // Announcer renews an instance's announcement at one of several entry hosts.
 type Announcer struct {
-	server  *Server
-	address string
-	zone    string
-	entries []string
-	logger  hclog.Logger
-	client  *http.Client
-	started uint64
-	said    uint64 // announcements so far
-	next    int
+	server      *Server
+	address     string
+	zone        string
+	entries     []string
+	logger      hclog.Logger
+	client      *http.Client
+	incarnation uint64
+	sequence    uint64 // announcements so far
+	next        int
 }
 
 // NewAnnouncer returns an announcer; entries are addresses of platform listeners,
@@ -57,7 +57,7 @@
 func NewAnnouncer(server *Server, address, zone string, entries []string, ring *key.Ring, logger hclog.Logger) *Announcer {
 	a := &Announcer{
 		server: server, address: address, zone: zone, entries: entries, logger: logger,
-		client: ring.Client(&http.Client{Timeout: heartbeatInterval}), started: uint64(time.Now().UnixNano()),
+		client: ring.Client(&http.Client{Timeout: heartbeatInterval}), incarnation: uint64(time.Now().UnixNano()),
 	}
 	if len(entries) > 0 {
 		a.next = int(xxhash.Sum64String(server.cfg.ID) % uint64(len(entries))) // instances spread over the entry hosts
@@ -93,10 +93,10 @@
 // Announce renews the announcement at the first entry host that answers.
 func (a *Announcer) Announce(ctx context.Context) error {
 	cfg := a.server.cfg
-	a.said++
+	a.sequence++
 	body, err := json.Marshal(announcement{
 		Service: cfg.Service, Address: a.address, Zone: a.zone, Slots: cfg.Slots,
-		Cold: a.server.Cold(), Draining: a.server.Draining(), Incarnation: a.started, Sequence: a.said,
+		Cold: a.server.Cold(), Draining: a.server.Draining(), Incarnation: a.incarnation, Sequence: a.sequence,
 	})
 	if err != nil {
 		return errors.Wrap(err, "encode announcement")
@@ -121,7 +121,7 @@
 func (a *Announcer) send(ctx context.Context, method string, body []byte) error {
 	url := "http://" + a.entries[a.next] + "/v1/instances/" + a.server.cfg.ID
 	if method == http.MethodDelete {
-		url += fmt.Sprintf("?incarnation=%d", a.started)
+		url += fmt.Sprintf("?incarnation=%d", a.incarnation)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -135,12 +135,12 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("announce: %s", response.Status)
 	}
-	return a.learn(response.Body)
+	return a.addAlternates(response.Body)
 }
 
-// learn adds entry hosts that the answer names.
-func (a *Announcer) learn(body io.Reader) error {
-	var answer lease
+// addAlternates adds entry hosts that the answer names.
+func (a *Announcer) addAlternates(body io.Reader) error {
+	var answer announceResponse
 	if err := json.NewDecoder(body).Decode(&answer); err != nil {
 		return errors.Wrap(err, "read answer to an announcement")
 	}
--- a/standin/upstream/fault.go
+++ b/standin/upstream/fault.go
@@ -34,20 +34,20 @@
 	frozenLoad int
 }
 
-// slowness returns the factor on the time of a request.
-func (f *faultState) slowness(now time.Time) float64 {
+// serviceTimeFactor returns the factor on the time of a request.
+func (f *faultState) serviceTimeFactor(now time.Time) float64 {
 	factor := 1.0
 	if f.Slowdown > 0 {
 		factor = f.Slowdown
 	}
-	if left := f.coldLeft(now); left > 0 {
+	if left := f.coldFraction(now); left > 0 {
 		factor *= 1 + (coldFactor-1)*left
 	}
 	return factor
 }
 
-// coldLeft returns the share of a cold start that is still to come.
-func (f *faultState) coldLeft(now time.Time) float64 {
+// coldFraction returns the share of a cold start that is still to come.
+func (f *faultState) coldFraction(now time.Time) float64 {
 	if f.ColdSeconds <= 0 {
 		return 0
 	}
@@ -66,19 +66,19 @@
 	}
 }
 
-type faultSwitch struct {
+type faultHolder struct {
 	current atomic.Pointer[faultState]
 }
 
-func (s *faultSwitch) load() *faultState {
+func (s *faultHolder) load() *faultState {
 	if f := s.current.Load(); f != nil {
 		return f
 	}
 	return &faultState{}
 }
 
-// switchFaults serves PUT and GET /standin/faults.
-func (s *Server) switchFaults(w http.ResponseWriter, r *http.Request) {
+// serveFaults serves PUT and GET /standin/faults.
+func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		writeJSON(w, s.faults.load().Faults)
 		return
--- a/standin/upstream/link.go
+++ b/standin/upstream/link.go
@@ -19,7 +19,7 @@
 	return at
 }
 
-// hushed reports whether nothing may be answered on a request's connection.
-func (f *faultState) hushed(ctx context.Context) bool {
+// silenced reports whether nothing may be answered on a request's connection.
+func (f *faultState) silenced(ctx context.Context) bool {
 	return f.Silent || f.SilentLinks && openedAt(ctx).Before(f.switchedAt)
 }
--- a/standin/upstream/queue.go
+++ b/standin/upstream/queue.go
@@ -7,18 +7,18 @@
 
 // queue holds requests until one of the slots is free, in order of arrival.
 type queue struct {
-	slots  chan struct{}
-	inside atomic.Int64
+	slots    chan struct{}
+	inFlight atomic.Int64
 }
 
 func newQueue(slots int) *queue { return &queue{slots: make(chan struct{}, slots)} }
 
 // Load returns the requests in slots and waiting.
-func (q *queue) Load() int { return int(q.inside.Load()) }
+func (q *queue) Load() int { return int(q.inFlight.Load()) }
 
-// enter waits for a slot; leave must be called if it returns true.
-func (q *queue) enter(ctx context.Context) bool {
-	q.inside.Add(1)
+// acquire waits for a slot; leave must be called if it returns true.
+func (q *queue) acquire(ctx context.Context) bool {
+	q.inFlight.Add(1)
 	if ctx.Err() == nil {
 		select {
 		case q.slots <- struct{}{}:
@@ -26,11 +26,11 @@
 		case <-ctx.Done():
 		}
 	}
-	q.inside.Add(-1)
+	q.inFlight.Add(-1)
 	return false
 }
 
-func (q *queue) leave() {
+func (q *queue) release() {
 	<-q.slots
-	q.inside.Add(-1)
+	q.inFlight.Add(-1)
 }
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -40,8 +40,8 @@
 	// crashStatus is the exit code of a crash that was asked for.
 	crashStatus = 70
 	// maxExtraBytes bounds the size of an answer.
-	maxExtraBytes = 1 << 30
-	fillerBytes   = 32 << 10
+	maxExtraBytes    = 1 << 30
+	fillerChunkBytes = 32 << 10
 )
 
 // Config describes an instance.
@@ -61,7 +61,7 @@
 type Server struct {
 	cfg    Config
 	queue  *queue
-	faults faultSwitch
+	faults faultHolder
 	runs   *executions
 	mux    *http.ServeMux
 }
@@ -69,10 +69,10 @@
 // New returns a server.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, queue: newQueue(cfg.Slots), runs: newExecutions(), mux: http.NewServeMux()}
-	s.mux.HandleFunc("/standin/faults", s.switchFaults)
+	s.mux.HandleFunc("/standin/faults", s.serveFaults)
 	s.mux.HandleFunc("/standin/runs", s.runs.list)
 	s.mux.HandleFunc("/standin/probe", s.probe)
-	s.mux.HandleFunc("/", s.work)
+	s.mux.HandleFunc("/", s.serveRequest)
 	return s
 }
 
@@ -83,7 +83,7 @@
 func (s *Server) Draining() bool { return s.faults.load().Draining }
 
 // Cold reports whether the instance is in a cold start.
-func (s *Server) Cold() bool { return s.faults.load().coldLeft(time.Now()) > 0 }
+func (s *Server) Cold() bool { return s.faults.load().coldFraction(time.Now()) > 0 }
 
 // Silent reports whether the instance was told to say nothing.
 func (s *Server) Silent() bool { return s.faults.load().Silent }
@@ -100,36 +100,36 @@
 }
 
 func (s *Server) probe(w http.ResponseWriter, r *http.Request) {
-	if s.faults.load().hushed(r.Context()) {
+	if s.faults.load().silenced(r.Context()) {
 		<-r.Context().Done()
 		return
 	}
-	if !s.queue.enter(r.Context()) {
+	if !s.queue.acquire(r.Context()) {
 		return
 	}
 	done := pause.For(r.Context(), s.cfg.ProbeCost)
-	s.queue.leave()
+	s.queue.release()
 	if done {
-		s.report(w)
+		s.setLoadHeader(w)
 		w.WriteHeader(http.StatusOK)
 	}
 }
 
-func (s *Server) report(w http.ResponseWriter) {
+func (s *Server) setLoadHeader(w http.ResponseWriter) {
 	w.Header().Set(loadHeader, strconv.Itoa(s.faults.load().load(s.queue.Load())))
 }
 
-func (s *Server) work(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	faults := s.faults.load()
 	switch {
-	case faults.hushed(r.Context()):
+	case faults.silenced(r.Context()):
 		<-r.Context().Done()
 	case faults.Shed:
 		s.refuse(w, "shed")
 	case s.cfg.MaxQueue > 0 && s.queue.Load() >= s.cfg.Slots+s.cfg.MaxQueue:
 		s.refuse(w, "queue-full")
 	case faults.FailFast:
-		s.report(w)
+		s.setLoadHeader(w)
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
 		s.run(w, r, faults)
@@ -138,7 +138,7 @@
 
 // refuse answers before anything was started.
 func (s *Server) refuse(w http.ResponseWriter, reason string) {
-	s.report(w)
+	s.setLoadHeader(w)
 	w.Header().Set(notStartedHeader, reason)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -147,15 +147,15 @@
 func (s *Server) run(w http.ResponseWriter, r *http.Request, faults *faultState) {
 	ctx, cancel := withDeadline(r)
 	defer cancel()
-	if !s.queue.enter(ctx) {
+	if !s.queue.acquire(ctx) {
 		if r.Context().Err() == nil {
 			s.refuse(w, "deadline")
 		}
 		return
 	}
 	size, digest, err := s.execute(ctx, r, faults)
-	s.queue.leave()
-	s.report(w)
+	s.queue.release()
+	s.setLoadHeader(w)
 	switch {
 	case r.Context().Err() != nil:
 		return
@@ -163,7 +163,7 @@
 		http.Error(w, err.Error(), http.StatusGatewayTimeout)
 		return
 	}
-	s.answer(w, r, size, digest)
+	s.respond(w, r, size, digest)
 }
 
 func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
@@ -185,27 +185,27 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if !pause.For(ctx, s.duration(faults)) {
+	if !pause.For(ctx, s.serviceTime(faults)) {
 		return 0, 0, ctx.Err()
 	}
 	return size, digest.Sum64(), nil
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, size int64, digest uint64) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, size int64, digest uint64) {
 	w.Header().Set("Content-Type", "application/json")
 	_, err := fmt.Fprintf(w, `{"instance":%q,"method":%q,"path":%q,"request":%q,"bodyBytes":%d,"bodyDigest":"%016x"}`+"\n",
 		s.cfg.ID, r.Method, r.URL.Path, r.Header.Get("Request-Id"), size, digest)
 	extra, _ := strconv.ParseInt(r.URL.Query().Get("bytes"), 10, 64)
-	filler := make([]byte, fillerBytes)
-	for left := min(extra, maxExtraBytes); left > 0 && err == nil; left -= fillerBytes {
-		_, err = w.Write(filler[:min(left, fillerBytes)])
+	filler := make([]byte, fillerChunkBytes)
+	for left := min(extra, maxExtraBytes); left > 0 && err == nil; left -= fillerChunkBytes {
+		_, err = w.Write(filler[:min(left, fillerChunkBytes)])
 	}
 }
 
-func (s *Server) duration(faults *faultState) time.Duration {
+func (s *Server) serviceTime(faults *faultState) time.Duration {
 	mean := float64(s.cfg.ServiceTime)
 	if s.cfg.Sigma > 0 {
 		mean *= math.Exp(s.cfg.Sigma*rand.NormFloat64() - s.cfg.Sigma*s.cfg.Sigma/2)
 	}
-	return time.Duration(mean * faults.slowness(time.Now()))
+	return time.Duration(mean * faults.serviceTimeFactor(time.Now()))
 }
