--- a/standin/callcommand.go
+++ b/standin/callcommand.go
@@ -25,7 +25,7 @@
 	Quiet    bool          `help:"Print no progress line."`
 }
 
-// Run calls until the duration has passed and prints a summary as JSON.
+// Run sends requests until the duration has passed and prints a summary as JSON.
 func (c *callCommand) Run() error {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in for callers: it asks for the addresses of a
-// service, keeps the answer for its lifetime, connects there and loads it.
+// Package caller simulates callers: it resolves the addresses of a service,
+// caches the response for its TTL and sends requests at a given rate.
 //
 // Usage:
 //
@@ -26,22 +26,22 @@
 	"github.com/pkg/errors"
 )
 
-// Config describes a load.
+// Config describes the load to generate.
 type Config struct {
 	EntryAddresses    []string // platform listeners of entry hosts
 	Service           string
 	Zone              string
 	Method            string
 	Path              string
-	Rate              float64 // requests a second, arriving at random
+	Rate              float64 // mean requests per second, with Poisson arrivals
 	Duration          time.Duration
 	BodyBytes         int
-	IdempotencyHeader string                                     // header that carries a fresh idempotency key
-	MaxInFlight       int                                        // most requests in flight
+	IdempotencyHeader string                                     // header that carries a new idempotency key
+	MaxInFlight       int                                        // limit of requests in flight, 0 for the default
 	Progress          func(elapsed time.Duration, soFar Summary) // called each second, if set
 }
 
-// Summary counts outcomes and holds latencies in milliseconds.
+// Summary holds outcome counts and latency quantiles in milliseconds.
 type Summary struct {
 	Outcomes       map[string]int `json:"outcomes"`
 	Sent           int            `json:"sent"`
@@ -67,7 +67,7 @@
 
 	mu        sync.Mutex
 	active    []string
-	spares    []string // used in their order when no active one can be reached
+	spares    []string // used in order when no active address is reachable
 	expiresAt time.Time
 	histogram *hdrhistogram.Histogram
 	summary   Summary
@@ -82,7 +82,8 @@
 	outcomeNoResponse  = "no-answer"
 )
 
-// Run loads a service until the duration or the context ends.
+// Run sends requests to a service until the duration has passed or the context
+// is cancelled.
 func Run(ctx context.Context, cfg Config) Summary {
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = defaultMaxInFlight
@@ -122,18 +123,18 @@
 func (l *loader) load(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	open := make(chan struct{}, l.cfg.MaxInFlight)
-	next := time.Now()
+	inFlight := make(chan struct{}, l.cfg.MaxInFlight)
+	nextArrival := time.Now()
 	for {
-		next = next.Add(time.Duration(rand.ExpFloat64() / l.cfg.Rate * float64(time.Second)))
+		nextArrival = nextArrival.Add(time.Duration(rand.ExpFloat64() / l.cfg.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(next)):
+		case <-time.After(time.Until(nextArrival)):
 		}
-		open <- struct{}{}
+		inFlight <- struct{}{}
 		group.Go(func() {
-			defer func() { <-open }()
+			defer func() { <-inFlight }()
 			l.sendOne()
 		})
 	}
@@ -141,20 +142,20 @@
 
 func (l *loader) sendOne() {
 	started := time.Now()
-	result, wrong := l.call()
+	outcome, wrong := l.call()
 	took := time.Since(started)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.summary.Sent++
-	l.summary.Outcomes[result]++
+	l.summary.Outcomes[outcome]++
 	if wrong {
 		l.summary.WrongResponses++
 	}
 	_ = l.histogram.RecordValue(min(took.Microseconds(), maxLatencyMicros))
 }
 
-// call sends one request and returns its outcome, and whether the answer was
-// for another request.
+// call sends one request and returns its outcome, and whether the response
+// belonged to another request.
 func (l *loader) call() (string, bool) {
 	address, err := l.address()
 	if err != nil {
@@ -182,15 +183,15 @@
 	if err != nil {
 		return "cut", false
 	}
-	result := response.Header.Get("Snipebeam-Outcome")
-	if result == "answer" && response.StatusCode >= http.StatusInternalServerError {
+	outcome := response.Header.Get("Snipebeam-Outcome")
+	if outcome == "answer" && response.StatusCode >= http.StatusInternalServerError {
 		return "answer-error", false
 	}
-	return result, result == "answer" && !bytes.Contains(data, []byte(id))
+	return outcome, outcome == "answer" && !bytes.Contains(data, []byte(id))
 }
 
-// dialFailed reports whether nothing was sent because the host could not be
-// reached.
+// dialFailed reports whether the connection could not be opened, so that
+// nothing was sent.
 func dialFailed(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
@@ -203,8 +204,8 @@
 	return bytes.NewReader(make([]byte, n))
 }
 
-// address returns one of the addresses of the last answer, asking again when
-// its lifetime has passed.
+// address returns a random active address and refreshes the cached addresses
+// when their TTL has expired.
 func (l *loader) address() (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,17 +213,17 @@
 		l.refreshAddresses()
 	}
 	if len(l.active) == 0 {
-		return "", errors.New("no entry host was named")
+		return "", errors.New("no entry host address available")
 	}
 	return l.active[rand.IntN(len(l.active))], nil
 }
 
-// dropAddress leaves out an address that could not be reached and reports whether
-// another one is left.
+// dropAddress removes an unreachable address and reports whether another one
+// is left.
 func (l *loader) dropAddress(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.active = slices.DeleteFunc(l.active, func(one string) bool { return one == address })
+	l.active = slices.DeleteFunc(l.active, func(other string) bool { return other == address })
 	if len(l.active) == 0 && len(l.spares) > 0 {
 		l.active, l.spares = l.spares[:1], l.spares[1:]
 	}
@@ -231,40 +232,40 @@
 
 func (l *loader) refreshAddresses() {
 	for _, n := range rand.Perm(len(l.cfg.EntryAddresses)) {
-		answer, err := l.fetchAddresses(l.cfg.EntryAddresses[n])
-		if err != nil || len(answer.Addresses) == 0 {
+		response, err := l.fetchAddresses(l.cfg.EntryAddresses[n])
+		if err != nil || len(response.Addresses) == 0 {
 			continue
 		}
 		l.active, l.spares = nil, nil
-		for _, one := range answer.Addresses {
-			if one.Spare {
-				l.spares = append(l.spares, one.Address)
+		for _, entry := range response.Addresses {
+			if entry.Spare {
+				l.spares = append(l.spares, entry.Address)
 			} else {
-				l.active = append(l.active, one.Address)
+				l.active = append(l.active, entry.Address)
 			}
 		}
-		l.expiresAt = time.Now().Add(time.Duration(answer.TTLSeconds * float64(time.Second)))
+		l.expiresAt = time.Now().Add(time.Duration(response.TTLSeconds * float64(time.Second)))
 		return
 	}
 }
 
-func (l *loader) fetchAddresses(platform string) (*addressResponse, error) {
-	response, err := l.client.Get("http://" + platform + "/v1/addresses/" + l.cfg.Service + "?zone=" + l.cfg.Zone)
+func (l *loader) fetchAddresses(entryAddress string) (*addressResponse, error) {
+	response, err := l.client.Get("http://" + entryAddress + "/v1/addresses/" + l.cfg.Service + "?zone=" + l.cfg.Zone)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask for addresses")
+		return nil, errors.Wrap(err, "request addresses")
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer := &addressResponse{}
-	return answer, errors.Wrap(json.NewDecoder(response.Body).Decode(answer), "read addresses")
+	addresses := &addressResponse{}
+	return addresses, errors.Wrap(json.NewDecoder(response.Body).Decode(addresses), "decode addresses")
 }
 
 func (l *loader) snapshot() Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / microsPerMs }
+	quantile := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / microsPerMs }
 	summary := l.summary
 	summary.Outcomes = maps.Clone(l.summary.Outcomes)
-	summary.P50Ms, summary.P90Ms, summary.P99Ms, summary.P999Ms = at(50), at(90), at(99), at(99.9)
+	summary.P50Ms, summary.P90Ms, summary.P99Ms, summary.P999Ms = quantile(50), quantile(90), quantile(99), quantile(99.9)
 	summary.MaxMs = float64(l.histogram.Max()) / microsPerMs
 	return summary
 }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -12,16 +12,16 @@
 	"github.com/snipebeam/snipebeam/standin/caller"
 )
 
-// fakeEntry answers as an entry host does; every fourth request is refused,
-// and every fourth gets an answer that was meant for another.
+// fakeEntry simulates an entry host. Of every four requests it refuses one and
+// answers one with the response to another request.
 type fakeEntry struct {
-	asked    atomic.Int32
+	resolved atomic.Int32
 	requests atomic.Int32
 }
 
 func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/addresses/a" {
-		f.asked.Add(1)
+		f.resolved.Add(1)
 		fmt.Fprintf(w, `{"service":"a","ttlSeconds":60,"addresses":[{"address":%q}]}`, r.Host)
 		return
 	}
@@ -39,18 +39,18 @@
 	}
 }
 
-func TestCallerKeepsAddressesAndCountsOutcomes(t *testing.T) {
+func TestCallerCachesAddressesAndCountsOutcomes(t *testing.T) {
 	entry := &fakeEntry{}
 	server := httptest.NewServer(entry)
 	defer server.Close()
-	s := caller.Run(t.Context(), caller.Config{
+	summary := caller.Run(t.Context(), caller.Config{
 		EntryAddresses: []string{server.Listener.Addr().String()}, Service: "a", Method: http.MethodGet, Path: "/",
 		Rate: 400, Duration: 200 * time.Millisecond,
 	})
-	must.Positive(t, s.Sent)
-	must.Eq(t, int(entry.requests.Load()), s.Sent)
-	must.Eq(t, 1, entry.asked.Load())
-	must.Eq(t, s.Sent, s.Outcomes["answer"]+s.Outcomes["not-run"])
-	must.Eq(t, (s.Sent+3)/4, s.Outcomes["not-run"])
-	must.Eq(t, (s.Sent+2)/4, s.WrongResponses)
+	must.Positive(t, summary.Sent)
+	must.Eq(t, int(entry.requests.Load()), summary.Sent)
+	must.Eq(t, 1, entry.resolved.Load())
+	must.Eq(t, summary.Sent, summary.Outcomes["answer"]+summary.Outcomes["not-run"])
+	must.Eq(t, (summary.Sent+3)/4, summary.Outcomes["not-run"])
+	must.Eq(t, (summary.Sent+2)/4, summary.WrongResponses)
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,5 @@
-// Command snipebeam-standin stands in for instances and callers in the demo
-// and in tests.
+// Command snipebeam-standin simulates instances and callers for the demo and
+// for tests.
 package main
 
 import "github.com/alecthomas/kong"
--- a/standin/upstream/announce.go
+++ b/standin/upstream/announce.go
@@ -19,7 +19,7 @@
 // heartbeatInterval is how often an announcement is renewed.
 const heartbeatInterval = time.Second
 
-// maxEntries bounds the entry hosts that an instance remembers.
+// maxEntries limits the entry hosts that an instance may announce itself to.
 const maxEntries = 64
 
 // announcement is the body of PUT /v1/instances/ID at an entry host.
@@ -34,7 +34,7 @@
 	Sequence    uint64 `json:"sequence"`
 }
 
-// announceResponse is what an entry host answers.
+// announceResponse is the body of an entry host's response.
 type announceResponse struct {
 	Alternates []string `json:"alternates"`
 }
@@ -48,7 +48,7 @@
 	logger      hclog.Logger
 	client      *http.Client
 	incarnation uint64
-	sequence    uint64 // announcements so far
+	sequence    uint64 // of the latest announcement
 	next        int
 }
 
@@ -60,12 +60,12 @@
 		client: ring.Client(&http.Client{Timeout: heartbeatInterval}), incarnation: uint64(time.Now().UnixNano()),
 	}
 	if len(entries) > 0 {
-		a.next = int(xxhash.Sum64String(server.cfg.ID) % uint64(len(entries))) // instances spread over the entry hosts
+		a.next = int(xxhash.Sum64String(server.cfg.ID) % uint64(len(entries))) // spreads the instances over the entry hosts
 	}
 	return a
 }
 
-// Run announces until the context ends, then leaves.
+// Run announces the instance until the context is cancelled, then withdraws it.
 func (a *Announcer) Run(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval / 2)
 	defer ticker.Stop()
@@ -80,17 +80,17 @@
 	}
 }
 
-// renew announces unless the instance is to say nothing.
+// renew announces the instance unless it is silent.
 func (a *Announcer) renew(ctx context.Context) {
 	if a.server.Silent() {
 		return
 	}
 	if err := a.Announce(ctx); err != nil && ctx.Err() == nil {
-		a.logger.Warn("not announced", "error", err)
+		a.logger.Warn("announcement failed", "error", err)
 	}
 }
 
-// Announce renews the announcement at the first entry host that answers.
+// Announce renews the announcement at the first entry host that accepts it.
 func (a *Announcer) Announce(ctx context.Context) error {
 	cfg := a.server.cfg
 	a.sequence++
@@ -101,20 +101,20 @@
 	if err != nil {
 		return errors.Wrap(err, "encode announcement")
 	}
-	var last error
+	var lastErr error
 	for range a.entries {
-		if last = a.send(ctx, http.MethodPut, body); last == nil {
+		if lastErr = a.send(ctx, http.MethodPut, body); lastErr == nil {
 			return nil
 		}
 		a.next = (a.next + 1) % len(a.entries)
 	}
-	return last
+	return lastErr
 }
 
 func (a *Announcer) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatInterval)
 	defer cancel()
-	// The lease ends without it.
+	// If this fails, the lease expires.
 	_ = a.send(ctx, http.MethodDelete, nil)
 }
 
@@ -125,7 +125,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := a.client.Do(req)
 	if err != nil {
@@ -138,15 +138,15 @@
 	return a.addAlternates(response.Body)
 }
 
-// addAlternates adds entry hosts that the answer names.
+// addAlternates adds the alternate entry hosts of the response to the list.
 func (a *Announcer) addAlternates(body io.Reader) error {
-	var answer announceResponse
-	if err := json.NewDecoder(body).Decode(&answer); err != nil {
-		return errors.Wrap(err, "read answer to an announcement")
+	var response announceResponse
+	if err := json.NewDecoder(body).Decode(&response); err != nil {
+		return errors.Wrap(err, "decode response to an announcement")
 	}
-	for _, one := range answer.Alternates {
-		if len(a.entries) < maxEntries && !slices.Contains(a.entries, one) {
-			a.entries = append(a.entries, one)
+	for _, alternate := range response.Alternates {
+		if len(a.entries) < maxEntries && !slices.Contains(a.entries, alternate) {
+			a.entries = append(a.entries, alternate)
 		}
 	}
 	return nil
--- a/standin/upstream/execution.go
+++ b/standin/upstream/execution.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// executions counts how often each idempotency key was run.
+// executions counts the executions of each idempotency key.
 type executions struct {
 	mu    sync.Mutex
 	byKey map[string]int
@@ -22,7 +22,7 @@
 	e.byKey[key]++
 }
 
-// Counts returns how often each key was run.
+// Counts returns a copy of the number of executions by key.
 func (e *executions) Counts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/upstream/fault.go
+++ b/standin/upstream/fault.go
@@ -7,46 +7,47 @@
 	"time"
 )
 
-// Faults are switched over HTTP with PUT /standin/faults; what is left out is
-// switched off. GET returns those in force.
+// Faults are the faults that an instance simulates. PUT /standin/faults
+// replaces all of them, so an omitted one is switched off; GET returns the
+// active ones.
 type Faults struct {
-	Slowdown     float64 `json:"slowdown"`     // factor on the time of a request, 0 and 1 for none
-	Draining     bool    `json:"draining"`     // announce that no new work is wanted
-	ColdSeconds  float64 `json:"coldSeconds"`  // announce a cold start, slow at first, for so long
-	Shed         bool    `json:"shed"`         // refuse before starting
-	FailFast     bool    `json:"failFast"`     // answer 500 at once
-	Crash        bool    `json:"crash"`        // end the process as soon as this is answered
-	CrashOn      string  `json:"crashOn"`      // end the process when a request with this path starts
-	LoadOverride *int    `json:"lie"`          // reported load, whatever the real one
-	FrozenReport bool    `json:"frozenReport"` // go on reporting the load of the moment of the switch
-	Silent       bool    `json:"silent"`       // accept requests and never answer, and announce nothing
-	SilentLinks  bool    `json:"silentLinks"`  // never answer on connections that are open at the switch
+	Slowdown     float64 `json:"slowdown"`     // factor on the service time, 0 and 1 for none
+	Draining     bool    `json:"draining"`     // announce that the instance is draining
+	ColdSeconds  float64 `json:"coldSeconds"`  // announce a cold start of this length, slow at first
+	Shed         bool    `json:"shed"`         // refuse each request before it starts
+	FailFast     bool    `json:"failFast"`     // respond 500 without doing the work
+	Crash        bool    `json:"crash"`        // end the process after the response to the PUT
+	CrashOn      string  `json:"crashOn"`      // end the process when a request for this path starts
+	LoadOverride *int    `json:"lie"`          // load to report instead of the actual load
+	FrozenReport bool    `json:"frozenReport"` // keep reporting the load at the time of the switch
+	Silent       bool    `json:"silent"`       // accept requests without responding, and send no announcements
+	SilentLinks  bool    `json:"silentLinks"`  // send no response on connections that are open at the switch
 }
 
-// coldFactor is how much slower the first request of a cold start is.
+// coldFactor is the factor on the service time at the beginning of a cold start.
 const coldFactor = 5
 
-// faultState is the faults in force with what was noted at their switch. It is
-// immutable.
+// faultState holds the active faults, with the time and the load at which they
+// were switched on. It is immutable.
 type faultState struct {
 	Faults
 	switchedAt time.Time
 	frozenLoad int
 }
 
-// serviceTimeFactor returns the factor on the time of a request.
+// serviceTimeFactor returns the factor on the service time of a request.
 func (f *faultState) serviceTimeFactor(now time.Time) float64 {
 	factor := 1.0
 	if f.Slowdown > 0 {
 		factor = f.Slowdown
 	}
-	if left := f.coldFraction(now); left > 0 {
-		factor *= 1 + (coldFactor-1)*left
+	if cold := f.coldFraction(now); cold > 0 {
+		factor *= 1 + (coldFactor-1)*cold
 	}
 	return factor
 }
 
-// coldFraction returns the share of a cold start that is still to come.
+// coldFraction returns the remaining fraction of a cold start.
 func (f *faultState) coldFraction(now time.Time) float64 {
 	if f.ColdSeconds <= 0 {
 		return 0
@@ -54,7 +55,7 @@
 	return max(0, 1-now.Sub(f.switchedAt).Seconds()/f.ColdSeconds)
 }
 
-// load returns the load that is reported in place of the real one.
+// load returns the load to report, given the actual one.
 func (f *faultState) load(actual int) int {
 	switch {
 	case f.LoadOverride != nil:
@@ -98,13 +99,13 @@
 	}
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the active faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.faults.current.Store(&faultState{Faults: faults, switchedAt: time.Now(), frozenLoad: s.queue.Load()})
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The reader has gone if this fails.
+	// An error means that the client has disconnected, so it cannot be reported.
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/standin/upstream/queue.go
+++ b/standin/upstream/queue.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// queue holds requests until one of the slots is free, in order of arrival.
+// queue admits requests to a fixed number of slots in order of arrival.
 type queue struct {
 	slots    chan struct{}
 	inFlight atomic.Int64
@@ -13,10 +13,10 @@
 
 func newQueue(slots int) *queue { return &queue{slots: make(chan struct{}, slots)} }
 
-// Load returns the requests in slots and waiting.
+// Load returns the number of requests that run or wait.
 func (q *queue) Load() int { return int(q.inFlight.Load()) }
 
-// acquire waits for a slot; leave must be called if it returns true.
+// acquire waits for a slot; release must be called if it returns true.
 func (q *queue) acquire(ctx context.Context) bool {
 	q.inFlight.Add(1)
 	if ctx.Err() == nil {
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -1,11 +1,11 @@
-// Package upstream is a stand-in for an instance: slots with a real queue, a
-// load report on each answer and on a probe, and faults that can be switched
-// on over HTTP.
+// Package upstream simulates an instance: it has slots with a real queue,
+// reports its load in each response, also to a probe, and simulates faults that
+// are switched on over HTTP.
 //
 //	PUT /standin/faults {"slowdown": 4}   see Faults
 //	GET /standin/runs                     executions by idempotency key
-//	GET /standin/probe                    load report, takes a slot for the probe's cost
-//	anything else                         a request; ?bytes=N adds N bytes to the answer
+//	GET /standin/probe                    load report; occupies a slot for the probe's cost
+//	anything else                         a request; ?bytes=N adds N bytes to the response
 //
 // Usage:
 //
@@ -29,7 +29,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Headers between the system and an instance.
+// Headers between an entry host and an instance.
 const (
 	loadHeader       = "Snipebeam-Load"
 	notStartedHeader = "Snipebeam-Not-Started"
@@ -37,9 +37,9 @@
 )
 
 const (
-	// crashStatus is the exit code of a crash that was asked for.
+	// crashStatus is the exit code of a simulated crash.
 	crashStatus = 70
-	// maxExtraBytes bounds the size of an answer.
+	// maxExtraBytes limits the bytes that ?bytes=N adds to a response.
 	maxExtraBytes    = 1 << 30
 	fillerChunkBytes = 32 << 10
 )
@@ -49,15 +49,15 @@
 	ID                string
 	Service           string
 	Slots             int
-	ServiceTime       time.Duration // mean time of a request in a slot
-	Sigma             float64       // of the lognormal time, 0 for constant
-	ProbeCost         time.Duration // time that a probe takes in a slot
+	ServiceTime       time.Duration // mean service time of a request
+	Sigma             float64       // of the lognormal service time, 0 for constant
+	ProbeCost         time.Duration // time that a probe occupies a slot
 	IdempotencyHeader string
-	MaxQueue          int    // requests that may wait before it sheds, 0 for any number
-	Crash             func() // ends the process unless set
+	MaxQueue          int    // queued requests beyond which the instance sheds load, 0 for no limit
+	Crash             func() // called on a simulated crash; ends the process if nil
 }
 
-// Server is the instance.
+// Server simulates one instance.
 type Server struct {
 	cfg    Config
 	queue  *queue
@@ -66,7 +66,7 @@
 	mux    *http.ServeMux
 }
 
-// New returns a server.
+// New returns the server of an instance without active faults.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, queue: newQueue(cfg.Slots), runs: newExecutions(), mux: http.NewServeMux()}
 	s.mux.HandleFunc("/standin/faults", s.serveFaults)
@@ -76,19 +76,19 @@
 	return s
 }
 
-// ServeHTTP serves requests, probes and switches.
+// ServeHTTP serves requests, probes and the control paths below /standin/.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Draining reports whether the instance was told to drain.
+// Draining reports whether the instance announces that it is draining.
 func (s *Server) Draining() bool { return s.faults.load().Draining }
 
 // Cold reports whether the instance is in a cold start.
 func (s *Server) Cold() bool { return s.faults.load().coldFraction(time.Now()) > 0 }
 
-// Silent reports whether the instance was told to say nothing.
+// Silent reports whether the instance sends neither responses nor announcements.
 func (s *Server) Silent() bool { return s.faults.load().Silent }
 
-// Executions returns how often each idempotency key was run.
+// Executions returns the number of executions by idempotency key.
 func (s *Server) Executions() map[string]int { return s.runs.Counts() }
 
 func (s *Server) crash() {
@@ -107,9 +107,9 @@
 	if !s.queue.acquire(r.Context()) {
 		return
 	}
-	done := pause.For(r.Context(), s.cfg.ProbeCost)
+	completed := pause.For(r.Context(), s.cfg.ProbeCost)
 	s.queue.release()
-	if done {
+	if completed {
 		s.setLoadHeader(w)
 		w.WriteHeader(http.StatusOK)
 	}
@@ -136,14 +136,14 @@
 	}
 }
 
-// refuse answers before anything was started.
+// refuse responds that the request was not started.
 func (s *Server) refuse(w http.ResponseWriter, reason string) {
 	s.setLoadHeader(w)
 	w.Header().Set(notStartedHeader, reason)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// run waits for a slot, reads the request and answers it, within its deadline.
+// run waits for a slot, executes the request and responds within the deadline.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, faults *faultState) {
 	ctx, cancel := withDeadline(r)
 	defer cancel()
@@ -174,7 +174,8 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// execute does the work of a request that has a slot.
+// execute reads the body of a request and simulates its service time. The
+// caller must hold a slot.
 func (s *Server) execute(ctx context.Context, r *http.Request, faults *faultState) (int64, uint64, error) {
 	s.runs.count(r.Header.Get(s.cfg.IdempotencyHeader))
 	if faults.CrashOn != "" && r.URL.Path == faults.CrashOn {
@@ -197,8 +198,8 @@
 		s.cfg.ID, r.Method, r.URL.Path, r.Header.Get("Request-Id"), size, digest)
 	extra, _ := strconv.ParseInt(r.URL.Query().Get("bytes"), 10, 64)
 	filler := make([]byte, fillerChunkBytes)
-	for left := min(extra, maxExtraBytes); left > 0 && err == nil; left -= fillerChunkBytes {
-		_, err = w.Write(filler[:min(left, fillerChunkBytes)])
+	for remaining := min(extra, maxExtraBytes); remaining > 0 && err == nil; remaining -= fillerChunkBytes {
+		_, err = w.Write(filler[:min(remaining, fillerChunkBytes)])
 	}
 }
 
--- a/standin/upstream/server_test.go
+++ b/standin/upstream/server_test.go
@@ -13,16 +13,16 @@
 	"github.com/snipebeam/snipebeam/standin/upstream"
 )
 
-const onceHeader = "Idempotency-Key"
+const idempotencyHeader = "Idempotency-Key"
 
 func newServer(crash func()) *upstream.Server {
 	return upstream.New(upstream.Config{
 		ID: "a-1", Service: "a", Slots: 2, ServiceTime: 10 * time.Millisecond, ProbeCost: 6 * time.Millisecond,
-		IdempotencyHeader: onceHeader, MaxQueue: 3, Crash: crash,
+		IdempotencyHeader: idempotencyHeader, MaxQueue: 3, Crash: crash,
 	})
 }
 
-// call serves one request and returns the answer with the time that it took.
+// call serves one request and returns the response and how long it took.
 func call(ctx context.Context, s *upstream.Server, path string, headers ...string) (*httptest.ResponseRecorder, time.Duration) {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader("body"))
 	for n := 0; n < len(headers); n += 2 {
@@ -51,21 +51,21 @@
 	})
 }
 
-func TestDeadlinesAndCancellationAreHonoured(t *testing.T) {
+func TestDeadlinesAndCancellationAreRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(nil)
-		w, took := call(t.Context(), s, "/", "Snipebeam-Deadline-Ms", "4", onceHeader, "late")
+		w, took := call(t.Context(), s, "/", "Snipebeam-Deadline-Ms", "4", idempotencyHeader, "late")
 		must.Eq(t, http.StatusGatewayTimeout, w.Code)
 		must.Eq(t, 4*time.Millisecond, took)
 		for range 2 {
 			go call(t.Context(), s, "/")
 		}
 		synctest.Wait()
-		w, _ = call(t.Context(), s, "/", "Snipebeam-Deadline-Ms", "4", onceHeader, "waiting")
+		w, _ = call(t.Context(), s, "/", "Snipebeam-Deadline-Ms", "4", idempotencyHeader, "waiting")
 		must.Eq(t, "deadline", w.Header().Get("Snipebeam-Not-Started"))
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Millisecond)
 		defer cancel()
-		_, took = call(ctx, s, "/", onceHeader, "gone")
+		_, took = call(ctx, s, "/", idempotencyHeader, "gone")
 		must.Eq(t, 3*time.Millisecond, took)
 		must.Eq(t, map[string]int{"late": 1}, s.Executions())
 		time.Sleep(time.Second)
@@ -76,8 +76,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		crashes := 0
 		s := newServer(func() { crashes++ })
-		lie := 7
-		s.SetFaults(upstream.Faults{Slowdown: 3, LoadOverride: &lie})
+		override := 7
+		s.SetFaults(upstream.Faults{Slowdown: 3, LoadOverride: &override})
 		w, took := call(t.Context(), s, "/")
 		must.Eq(t, 30*time.Millisecond, took)
 		must.Eq(t, "7", w.Header().Get("Snipebeam-Load"))
@@ -88,11 +88,11 @@
 		time.Sleep(10 * time.Second)
 		must.False(t, s.Cold())
 		s.SetFaults(upstream.Faults{Shed: true, Draining: true})
-		w, _ = call(t.Context(), s, "/", onceHeader, "k")
+		w, _ = call(t.Context(), s, "/", idempotencyHeader, "k")
 		must.Eq(t, "shed", w.Header().Get("Snipebeam-Not-Started"))
 		must.True(t, s.Draining())
 		s.SetFaults(upstream.Faults{FailFast: true})
-		w, took = call(t.Context(), s, "/", onceHeader, "k")
+		w, took = call(t.Context(), s, "/", idempotencyHeader, "k")
 		must.Eq(t, http.StatusInternalServerError, w.Code)
 		must.Eq(t, 0, took)
 		must.MapEmpty(t, s.Executions())
@@ -107,7 +107,7 @@
 	})
 }
 
-func TestAFrozenReportKeepsTheOldLoad(t *testing.T) {
+func TestFrozenReportKeepsPreviousLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(nil)
 		s.SetFaults(upstream.Faults{FrozenReport: true})
@@ -121,16 +121,16 @@
 	})
 }
 
-func TestOnlyOldLinksGoSilent(t *testing.T) {
+func TestSilentLinksAffectsOnlyOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(nil)
-		old := upstream.ConnContext(t.Context(), nil)
+		older := upstream.ConnContext(t.Context(), nil)
 		time.Sleep(time.Millisecond)
 		s.SetFaults(upstream.Faults{SilentLinks: true})
-		young := upstream.ConnContext(t.Context(), nil)
-		w, _ := call(young, s, "/")
+		newer := upstream.ConnContext(t.Context(), nil)
+		w, _ := call(newer, s, "/")
 		must.Eq(t, http.StatusOK, w.Code)
-		limited, cancel := context.WithTimeout(old, time.Minute)
+		limited, cancel := context.WithTimeout(older, time.Minute)
 		defer cancel()
 		w, took := call(limited, s, "/")
 		must.Eq(t, time.Minute, took)
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestAFullQueueSheds(t *testing.T) {
+func TestFullQueueShedsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(nil)
 		for range 5 {
--- a/standin/upstreamcommand.go
+++ b/standin/upstreamcommand.go
@@ -30,7 +30,7 @@
 	Entries   []string      `help:"Platform addresses of entry hosts to announce to."`
 }
 
-// Run serves until the program is told to stop, then drains.
+// Run serves until the process receives SIGINT or SIGTERM, then drains.
 func (c *upstreamCommand) Run() error {
 	logger := logging.New("snipebeam-standin", "info", os.Stderr)
 	ring, err := key.Load(c.KeyFile)
@@ -46,9 +46,9 @@
 	})
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	web := &http.Server{Handler: server, ReadHeaderTimeout: time.Minute, ConnContext: upstream.ConnContext}
-	go func() { _ = web.Serve(listener) }()
+	httpServer := &http.Server{Handler: server, ReadHeaderTimeout: time.Minute, ConnContext: upstream.ConnContext}
+	go func() { _ = httpServer.Serve(listener) }()
 	logger.Info("instance started", "id", c.ID, "service", c.Service, "address", listener.Addr().String())
 	upstream.NewAnnouncer(server, listener.Addr().String(), c.Zone, c.Entries, ring, logger).Run(ctx)
-	return errors.Wrap(web.Shutdown(context.Background()), "stop")
+	return errors.Wrap(httpServer.Shutdown(context.Background()), "shut down HTTP server")
 }
