--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in for callers: it asks for the addresses of a
-// service, keeps the answer for its lifetime, connects there and loads it.
+// Package caller simulates callers: it resolves the addresses of a service,
+// caches the response for its TTL and sends requests at a given rate.
 //
 // Usage:
 //
@@ -26,22 +26,22 @@
 	"github.com/pkg/errors"
 )
 
-// Config describes a load.
+// Config describes the load to generate.
 type Config struct {
 	EntryAddresses    []string // platform listeners of entry hosts
 	Service           string
 	Zone              string
 	Method            string
 	Path              string
-	Rate              float64 // requests a second, arriving at random
+	Rate              float64 // mean requests per second, with Poisson arrivals
 	Duration          time.Duration
 	BodyBytes         int
-	IdempotencyHeader string                                     // header that carries a fresh idempotency key
-	MaxInFlight       int                                        // most requests in flight
+	IdempotencyHeader string                                     // header that carries a new idempotency key
+	MaxInFlight       int                                        // limit of requests in flight, 0 for the default
 	Progress          func(elapsed time.Duration, soFar Summary) // called each second, if set
 }
 
-// Summary counts outcomes and holds latencies in milliseconds.
+// Summary holds outcome counts and latency quantiles in milliseconds.
 type Summary struct {
 	Outcomes       map[string]int `json:"outcomes"`
 	Sent           int            `json:"sent"`
@@ -53,7 +53,7 @@
 	WrongResponses int            `json:"wrongAnswers"`
 }
 
-type addressAnswer struct {
+type addressResponse struct {
 	TTLSeconds float64 `json:"ttlSeconds"`
 	Addresses  []struct {
 		Address string `json:"address"`
@@ -67,28 +67,29 @@
 
 	mu        sync.Mutex
 	active    []string
-	spares    []string // used in their order when no active one can be reached
-	freshTill time.Time
+	spares    []string // used in order when no active address is reachable
+	expiresAt time.Time
 	histogram *hdrhistogram.Histogram
 	summary   Summary
 }
 
 const (
-	highestMicros   = 120_000_000
-	significant     = 3
-	requestTimeout  = 2 * time.Minute
-	defaultMaxOpen  = 1000
-	microsPerMs     = 1000.0
-	outcomeNoAnswer = "no-answer"
+	maxLatencyMicros   = 120_000_000
+	significantDigits  = 3
+	requestTimeout     = 2 * time.Minute
+	defaultMaxInFlight = 1000
+	microsPerMs        = 1000.0
+	outcomeNoResponse  = "no-answer"
 )
 
-// Run loads a service until the duration or the context ends.
+// Run sends requests to a service until the duration has passed or the context
+// is cancelled.
 func Run(ctx context.Context, cfg Config) Summary {
 	if cfg.MaxInFlight == 0 {
-		cfg.MaxInFlight = defaultMaxOpen
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	l := &loader{
-		cfg: cfg, histogram: hdrhistogram.New(1, highestMicros, significant),
+		cfg: cfg, histogram: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxInFlight}},
 	}
 	l.summary.Outcomes = map[string]int{}
@@ -96,7 +97,7 @@
 	defer cancel()
 	go l.progress(ctx)
 	l.load(ctx)
-	return l.result()
+	return l.snapshot()
 }
 
 // progressInterval is the time between two calls of Config.Progress.
@@ -114,7 +115,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			l.cfg.Progress(time.Since(started), l.result())
+			l.cfg.Progress(time.Since(started), l.snapshot())
 		}
 	}
 }
@@ -122,39 +123,39 @@
 func (l *loader) load(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	open := make(chan struct{}, l.cfg.MaxInFlight)
-	next := time.Now()
+	inFlight := make(chan struct{}, l.cfg.MaxInFlight)
+	nextArrival := time.Now()
 	for {
-		next = next.Add(time.Duration(rand.ExpFloat64() / l.cfg.Rate * float64(time.Second)))
+		nextArrival = nextArrival.Add(time.Duration(rand.ExpFloat64() / l.cfg.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(next)):
+		case <-time.After(time.Until(nextArrival)):
 		}
-		open <- struct{}{}
+		inFlight <- struct{}{}
 		group.Go(func() {
-			defer func() { <-open }()
-			l.one()
+			defer func() { <-inFlight }()
+			l.sendOne()
 		})
 	}
 }
 
-func (l *loader) one() {
+func (l *loader) sendOne() {
 	started := time.Now()
-	result, wrong := l.call()
+	outcome, wrong := l.call()
 	took := time.Since(started)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.summary.Sent++
-	l.summary.Outcomes[result]++
+	l.summary.Outcomes[outcome]++
 	if wrong {
 		l.summary.WrongResponses++
 	}
-	_ = l.histogram.RecordValue(min(took.Microseconds(), highestMicros))
+	_ = l.histogram.RecordValue(min(took.Microseconds(), maxLatencyMicros))
 }
 
-// call sends one request and returns its outcome, and whether the answer was
-// for another request.
+// call sends one request and returns its outcome, and whether the response
+// belonged to another request.
 func (l *loader) call() (string, bool) {
 	address, err := l.address()
 	if err != nil {
@@ -171,27 +172,27 @@
 		req.Header.Set(l.cfg.IdempotencyHeader, id)
 	}
 	response, err := l.client.Do(req)
-	if notConnected(err) && l.avoid(address) {
+	if dialFailed(err) && l.dropAddress(address) {
 		return l.call()
 	}
 	if err != nil {
-		return outcomeNoAnswer, false
+		return outcomeNoResponse, false
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return "cut", false
 	}
-	result := response.Header.Get("Snipebeam-Outcome")
-	if result == "answer" && response.StatusCode >= http.StatusInternalServerError {
+	outcome := response.Header.Get("Snipebeam-Outcome")
+	if outcome == "answer" && response.StatusCode >= http.StatusInternalServerError {
 		return "answer-error", false
 	}
-	return result, result == "answer" && !bytes.Contains(data, []byte(id))
+	return outcome, outcome == "answer" && !bytes.Contains(data, []byte(id))
 }
 
-// notConnected reports whether nothing was sent because the host could not be
-// reached.
-func notConnected(err error) bool {
+// dialFailed reports whether the connection could not be opened, so that
+// nothing was sent.
+func dialFailed(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
 }
@@ -203,68 +204,68 @@
 	return bytes.NewReader(make([]byte, n))
 }
 
-// address returns one of the addresses of the last answer, asking again when
-// its lifetime has passed.
+// address returns a random active address and refreshes the cached addresses
+// when their TTL has expired.
 func (l *loader) address() (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Now().After(l.freshTill) {
-		l.ask()
+	if time.Now().After(l.expiresAt) {
+		l.refreshAddresses()
 	}
 	if len(l.active) == 0 {
-		return "", errors.New("no entry host was named")
+		return "", errors.New("no entry host address available")
 	}
 	return l.active[rand.IntN(len(l.active))], nil
 }
 
-// avoid leaves out an address that could not be reached and reports whether
-// another one is left.
-func (l *loader) avoid(address string) bool {
+// dropAddress removes an unreachable address and reports whether another one
+// is left.
+func (l *loader) dropAddress(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.active = slices.DeleteFunc(l.active, func(one string) bool { return one == address })
+	l.active = slices.DeleteFunc(l.active, func(other string) bool { return other == address })
 	if len(l.active) == 0 && len(l.spares) > 0 {
 		l.active, l.spares = l.spares[:1], l.spares[1:]
 	}
 	return len(l.active) > 0
 }
 
-func (l *loader) ask() {
+func (l *loader) refreshAddresses() {
 	for _, n := range rand.Perm(len(l.cfg.EntryAddresses)) {
-		answer, err := l.askOne(l.cfg.EntryAddresses[n])
-		if err != nil || len(answer.Addresses) == 0 {
+		response, err := l.fetchAddresses(l.cfg.EntryAddresses[n])
+		if err != nil || len(response.Addresses) == 0 {
 			continue
 		}
 		l.active, l.spares = nil, nil
-		for _, one := range answer.Addresses {
-			if one.Spare {
-				l.spares = append(l.spares, one.Address)
+		for _, entry := range response.Addresses {
+			if entry.Spare {
+				l.spares = append(l.spares, entry.Address)
 			} else {
-				l.active = append(l.active, one.Address)
+				l.active = append(l.active, entry.Address)
 			}
 		}
-		l.freshTill = time.Now().Add(time.Duration(answer.TTLSeconds * float64(time.Second)))
+		l.expiresAt = time.Now().Add(time.Duration(response.TTLSeconds * float64(time.Second)))
 		return
 	}
 }
 
-func (l *loader) askOne(platform string) (*addressAnswer, error) {
-	response, err := l.client.Get("http://" + platform + "/v1/addresses/" + l.cfg.Service + "?zone=" + l.cfg.Zone)
+func (l *loader) fetchAddresses(entryAddress string) (*addressResponse, error) {
+	response, err := l.client.Get("http://" + entryAddress + "/v1/addresses/" + l.cfg.Service + "?zone=" + l.cfg.Zone)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask for addresses")
+		return nil, errors.Wrap(err, "request addresses")
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer := &addressAnswer{}
-	return answer, errors.Wrap(json.NewDecoder(response.Body).Decode(answer), "read addresses")
+	addresses := &addressResponse{}
+	return addresses, errors.Wrap(json.NewDecoder(response.Body).Decode(addresses), "decode addresses")
 }
 
-func (l *loader) result() Summary {
+func (l *loader) snapshot() Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / microsPerMs }
+	quantile := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / microsPerMs }
 	summary := l.summary
 	summary.Outcomes = maps.Clone(l.summary.Outcomes)
-	summary.P50Ms, summary.P90Ms, summary.P99Ms, summary.P999Ms = at(50), at(90), at(99), at(99.9)
+	summary.P50Ms, summary.P90Ms, summary.P99Ms, summary.P999Ms = quantile(50), quantile(90), quantile(99), quantile(99.9)
 	summary.MaxMs = float64(l.histogram.Max()) / microsPerMs
 	return summary
 }
