--- a/world/key/key.go
+++ b/world/key/key.go
@@ -66,8 +66,8 @@
 	return accepted == 1
 }
 
-// Guard refuses requests that carry none of the keys.
-func (r *Ring) Guard(next http.Handler) http.Handler {
+// Authenticate refuses requests that carry none of the keys.
+func (r *Ring) Authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if !r.Accepts(req) {
 			http.Error(w, "key missing or not accepted", http.StatusUnauthorized)
--- a/world/link/quiet.go
+++ b/world/link/quiet.go
@@ -13,9 +13,9 @@
 	Quiet() bool
 }
 
-// Quiet reports whether an idle link is still open and has nothing to read.
+// Reusable reports whether an idle link is still open and has nothing to read.
 // It looks without waiting and takes nothing from the link.
-func Quiet(conn net.Conn) bool {
+func Reusable(conn net.Conn) bool {
 	if q, ok := conn.(quieter); ok {
 		return q.Quiet()
 	}
--- a/world/link/socket.go
+++ b/world/link/socket.go
@@ -28,16 +28,16 @@
 // SilentLimit is how long a link may go without a sign of life.
 const SilentLimit = 2 * time.Second
 
-// Bounds are those of one kind of link.
-type Bounds struct {
+// Timeouts are those of one kind of link.
+type Timeouts struct {
 	Silent  time.Duration // without a sign of life
 	Unacked time.Duration // with bytes that the peer does not take
 }
 
 // Kinds of links.
 var (
-	Body    = Bounds{Silent: SilentLimit, Unacked: 30 * time.Second} // carries bodies of any size
-	Message = Bounds{Silent: SilentLimit, Unacked: SilentLimit}      // carries short messages
+	BodyTimeouts    = Timeouts{Silent: SilentLimit, Unacked: 30 * time.Second} // carries bodies of any size
+	MessageTimeouts = Timeouts{Silent: SilentLimit, Unacked: SilentLimit}      // carries short messages
 )
 
 const (
@@ -49,12 +49,12 @@
 )
 
 // Dialer returns a dialer of links with the bounds.
-func Dialer(b Bounds) *net.Dialer {
+func Dialer(b Timeouts) *net.Dialer {
 	return &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepalive(b.Silent), Control: control(b.Unacked)}
 }
 
 // Listen opens a listener whose links have the bounds.
-func Listen(ctx context.Context, address string, b Bounds) (net.Listener, error) {
+func Listen(ctx context.Context, address string, b Timeouts) (net.Listener, error) {
 	cfg := net.ListenConfig{KeepAliveConfig: keepalive(b.Silent), Control: control(b.Unacked)}
 	listener, err := cfg.Listen(ctx, "tcp", address)
 	return listener, errors.Wrapf(err, "listen on %s", address)
@@ -64,7 +64,7 @@
 // processes.
 func Transport() *http.Transport {
 	return &http.Transport{
-		DialContext: Dialer(Message).DialContext, IdleConnTimeout: idleLimit, MaxIdleConnsPerHost: maxIdlePerHost,
+		DialContext: Dialer(MessageTimeouts).DialContext, IdleConnTimeout: idleLimit, MaxIdleConnsPerHost: maxIdlePerHost,
 	}
 }
 
