--- a/bench/knownred/main.go
+++ b/bench/knownred/main.go
@@ -45,7 +45,7 @@
 	top, _, _ := strings.Cut(entry.Test(), "/")
 	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "^"+top+"$", "./"+filepath.ToSlash(entry.Folder()))
 	cmd.Dir = root
-	cmd.Env = append(os.Environ(), knownred.Variable+"=1")
+	cmd.Env = append(os.Environ(), knownred.EnvVar+"=1")
 	// A failing test is what is looked for; other failures show in the output.
 	out, _ := cmd.CombinedOutput()
 	switch {
--- a/control/host/handlers.go
+++ b/control/host/handlers.go
@@ -22,21 +22,21 @@
 // handleRules registers the Rules service: Watch accepts the keys between
 // hosts, all other methods accept the operators' keys.
 func handleRules(mux *http.ServeMux, peers *key.Ring, operators operatorRing, server http.Handler) {
-	mux.Handle(wire.RulesPathPrefix, operators.Guard(server))
-	mux.Handle(wire.RulesPathPrefix+"Watch", peers.Guard(server))
+	mux.Handle(wire.RulesPathPrefix, operators.Authenticate(server))
+	mux.Handle(wire.RulesPathPrefix+"Watch", peers.Authenticate(server))
 }
 
 // handleClaims registers the Claims service: Show and Resolve accept the
 // operators' keys, all other methods accept the keys between hosts.
 func handleClaims(mux *http.ServeMux, peers *key.Ring, operators operatorRing, server http.Handler) {
-	mux.Handle(wire.ClaimsPathPrefix, peers.Guard(server))
-	mux.Handle(wire.ClaimsPathPrefix+"Show", operators.Guard(server))
-	mux.Handle(wire.ClaimsPathPrefix+"Resolve", operators.Guard(server))
+	mux.Handle(wire.ClaimsPathPrefix, peers.Authenticate(server))
+	mux.Handle(wire.ClaimsPathPrefix+"Show", operators.Authenticate(server))
+	mux.Handle(wire.ClaimsPathPrefix+"Resolve", operators.Authenticate(server))
 }
 
 // handleGroup registers the Group service, which accepts the operators' keys
 // only. A control host that forwards a request authenticates with the
 // operators' key.
 func handleGroup(mux *http.ServeMux, operators operatorRing, server http.Handler) {
-	mux.Handle(wire.GroupPathPrefix, operators.Guard(server))
+	mux.Handle(wire.GroupPathPrefix, operators.Authenticate(server))
 }
--- a/control/host/host.go
+++ b/control/host/host.go
@@ -72,7 +72,7 @@
 	mux := http.NewServeMux()
 	handleRules(mux, ring, operators, wire.NewRulesServer(rules))
 	handleClaims(mux, ring, operators, wire.NewClaimsServer(claims))
-	mux.Handle(wire.QuorumPathPrefix, ring.Guard(wire.NewQuorumServer(node.Service())))
+	mux.Handle(wire.QuorumPathPrefix, ring.Authenticate(wire.NewQuorumServer(node.Service())))
 	handleGroup(mux, operators, wire.NewGroupServer(node.Group()))
 	handleHealth(mux, node, exporter)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
--- a/control/host/listener.go
+++ b/control/host/listener.go
@@ -82,7 +82,7 @@
 		server := &http.Server{Handler: one.Handler, ReadHeaderTimeout: readHeaderTimeout}
 		lc.Append(fx.Hook{
 			OnStart: func(ctx context.Context) error {
-				listener, err := link.Listen(ctx, one.Address, link.Message)
+				listener, err := link.Listen(ctx, one.Address, link.MessageTimeouts)
 				if err != nil {
 					return errors.Wrapf(err, "listen for %s", one.Name)
 				}
--- a/control/host/reload.go
+++ b/control/host/reload.go
@@ -17,7 +17,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.StartStopHook(func() {
-		go program.FollowSettings(ctx, func() {
+		go program.WatchSettings(ctx, func() {
 			next := o.reload()
 			if next == nil {
 				return
--- a/control/settings/listen.go
+++ b/control/settings/listen.go
@@ -16,5 +16,5 @@
 	if l.Metrics != "" {
 		c.Address("listen.metrics", l.Metrics, "127.0.0.1:9100")
 	}
-	c.Guarded("listen.peers", l.Peers, keys.Peers != "" && keys.Operators != "", l.AllowUnkeyed)
+	c.Authenticated("listen.peers", l.Peers, keys.Peers != "" && keys.Operators != "", l.AllowUnkeyed)
 }
--- a/control/settings/settings.go
+++ b/control/settings/settings.go
@@ -38,7 +38,7 @@
 }
 
 func (s *Settings) check(c *setting.Checker) {
-	c.Given("host.name", s.Host.Name, "name this host, unique among all, here or with --name")
+	c.Required("host.name", s.Host.Name, "name this host, unique among all, here or with --name")
 	c.OneOf("log.level", s.Log.Level, logging.Levels()...)
 	s.Data.check(c)
 	s.Quorum.check(c)
--- a/entry/gossip/datagram.go
+++ b/entry/gossip/datagram.go
@@ -45,7 +45,7 @@
 		return nil, ErrMalformed
 	}
 	body := data[1+macBytes:]
-	if !c.ring.Authentic(body, data[1:1+macBytes]) {
+	if !c.ring.VerifyMAC(body, data[1:1+macBytes]) {
 		return nil, ErrUnauthenticated
 	}
 	d := &wire.GossipDatagram{}
--- a/entry/host/callers.go
+++ b/entry/host/callers.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(startCtx context.Context) error {
-			listener, err := link.Listen(startCtx, cfg.Listen.Callers, link.Body)
+			listener, err := link.Listen(startCtx, cfg.Listen.Callers, link.BodyTimeouts)
 			if err != nil {
 				return errors.Wrap(err, "listen for callers")
 			}
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -200,8 +200,8 @@
 		Report: state.Report, Drain: state.draining.Store, Logger: logger,
 	})
 	mux := http.NewServeMux()
-	mux.Handle(wire.EntryPathPrefix, doors.operators.Guard(wire.NewEntryServer(service)))
-	mux.Handle(wire.PeerPathPrefix, ring.Guard(wire.NewPeerServer(node.Service())))
+	mux.Handle(wire.EntryPathPrefix, doors.operators.Authenticate(wire.NewEntryServer(service)))
+	mux.Handle(wire.PeerPathPrefix, ring.Authenticate(wire.NewPeerServer(node.Service())))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: seconds(cfg.Limits.HeaderTimeoutSeconds)}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return listen(server, cfg.Listen.Peers, "peers", logger) },
@@ -221,7 +221,7 @@
 }
 
 func listen(server *http.Server, address, name string, logger hclog.Logger) error {
-	listener, err := link.Listen(context.Background(), address, link.Message)
+	listener, err := link.Listen(context.Background(), address, link.MessageTimeouts)
 	if err != nil {
 		return errors.Wrapf(err, "listen for %s", name)
 	}
--- a/entry/host/listener.go
+++ b/entry/host/listener.go
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.StartStopHook(func() {
-		go program.FollowSettings(ctx, func() {
+		go program.WatchSettings(ctx, func() {
 			if next := o.reload(); next != nil {
 				current.set(next)
 				logger.Info("settings read again", "controlHosts", current.Addresses())
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -31,7 +31,7 @@
 	})
 	must.NoError(t, err)
 	must.NoError(t, node.Listen())
-	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: ring.Guard(wire.NewPeerServer(node.Service()))}}
+	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: ring.Authenticate(wire.NewPeerServer(node.Service()))}}
 	server.Start()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/entry/settings/host.go
+++ b/entry/settings/host.go
@@ -19,7 +19,7 @@
 }
 
 func (h Host) check(c *setting.Checker) {
-	c.Given("host.name", h.Name, "name this host, unique among all, here or with --name")
+	c.Required("host.name", h.Name, "name this host, unique among all, here or with --name")
 	c.Positive("host.leaveSeconds", h.LeaveSeconds)
 	if h.Cores < 0 || h.LinkMbps < 0 {
 		c.Fail("host.cores", "or host.linkMbps is negative", "0 means not known")
--- a/entry/settings/listen.go
+++ b/entry/settings/listen.go
@@ -28,10 +28,10 @@
 		c.Address("listen.metrics", l.Metrics, "127.0.0.1:9100")
 	}
 	c.Address("listen.dns", l.DNS, "127.0.0.1:7253")
-	c.Told("listen.callers", l.Callers)
-	c.Told("listen.platform", l.Platform)
-	c.Told("listen.peers", l.Peers)
-	c.Given("listen.domain", l.Domain, "write it as snipebeam.")
-	c.Guarded("listen.platform", l.Platform, keys.Upstreams != "", l.AllowUnkeyed)
-	c.Guarded("listen.peers", l.Peers, keys.Peers != "" && keys.Operators != "", l.AllowUnkeyed)
+	c.Advertised("listen.callers", l.Callers)
+	c.Advertised("listen.platform", l.Platform)
+	c.Advertised("listen.peers", l.Peers)
+	c.Required("listen.domain", l.Domain, "write it as snipebeam.")
+	c.Authenticated("listen.platform", l.Platform, keys.Upstreams != "", l.AllowUnkeyed)
+	c.Authenticated("listen.peers", l.Peers, keys.Peers != "" && keys.Operators != "", l.AllowUnkeyed)
 }
--- a/entry/upstream/link.go
+++ b/entry/upstream/link.go
@@ -84,7 +84,7 @@
 
 // usable reports whether an idle link can be reused.
 func (l *Link) usable(now time.Time, idleLimit time.Duration) bool {
-	return now.Sub(l.idleSince) <= idleLimit && l.reader.Buffered() == 0 && link.Quiet(l.conn)
+	return now.Sub(l.idleSince) <= idleLimit && l.reader.Buffered() == 0 && link.Reusable(l.conn)
 }
 
 func (l *Link) close() { _ = l.conn.Close() }
--- a/entry/upstream/links.go
+++ b/entry/upstream/links.go
@@ -166,7 +166,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.idle {
-		if link.Quiet(l.conn) {
+		if link.Reusable(l.conn) {
 			open++
 		}
 	}
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -81,7 +81,7 @@
 }
 
 func dialer(silent time.Duration) Dial {
-	bounds := link.Body
+	bounds := link.BodyTimeouts
 	bounds.Silent = silent
 	d := link.Dialer(bounds)
 	return func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
--- a/world/key/key.go
+++ b/world/key/key.go
@@ -66,8 +66,8 @@
 	return accepted == 1
 }
 
-// Guard refuses requests that carry none of the keys.
-func (r *Ring) Guard(next http.Handler) http.Handler {
+// Authenticate refuses requests that carry none of the keys.
+func (r *Ring) Authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if !r.Accepts(req) {
 			http.Error(w, "key missing or not accepted", http.StatusUnauthorized)
@@ -84,17 +84,17 @@
 	if inner == nil {
 		inner = http.DefaultTransport
 	}
-	c.Transport = &signer{ring: r, inner: inner}
+	c.Transport = &authTransport{ring: r, inner: inner}
 	return &c
 }
 
-type signer struct {
+type authTransport struct {
 	ring  *Ring
 	inner http.RoundTripper
 }
 
 // RoundTrip adds the key to a copy of the request.
-func (s *signer) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *authTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if s.ring.Empty() {
 		return s.inner.RoundTrip(req)
 	}
--- a/world/key/mac.go
+++ b/world/key/mac.go
@@ -16,9 +16,9 @@
 	return mac(r.keys[0], message)
 }
 
-// Authentic reports whether a code is that of one of the keys. Without keys
+// VerifyMAC reports whether a code is that of one of the keys. Without keys
 // every message is authentic.
-func (r *Ring) Authentic(message, code []byte) bool {
+func (r *Ring) VerifyMAC(message, code []byte) bool {
 	if r.Empty() {
 		return true
 	}
--- a/world/knownred/knownred.go
+++ b/world/knownred/knownred.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	// File is the list, at the root of the repository.
-	File = "KNOWN-RED.txt"
-	// Variable makes listed tests run.
-	Variable = "SNIPEBEAM_KNOWN_RED"
+	// FileName is the list, at the root of the repository.
+	FileName = "KNOWN-RED.txt"
+	// EnvVar makes listed tests run.
+	EnvVar = "SNIPEBEAM_KNOWN_RED"
 
 	prefix = "test:"
 )
@@ -56,7 +56,7 @@
 		}
 		fields := strings.Fields(rest)
 		if len(fields) != 2 {
-			return nil, errors.Errorf("%s: want %s PACKAGE TEST, have %q", File, prefix, line)
+			return nil, errors.Errorf("%s: want %s PACKAGE TEST, have %q", FileName, prefix, line)
 		}
 		all = append(all, Entry{folder: fields[0], test: fields[1]})
 	}
@@ -67,13 +67,13 @@
 // the repository's root with it.
 func Load(folder string) (string, []Entry, error) {
 	for at := folder; ; at = filepath.Dir(at) {
-		text, err := os.ReadFile(filepath.Join(at, File))
+		text, err := os.ReadFile(filepath.Join(at, FileName))
 		if err == nil {
 			all, err := Parse(string(text))
 			return at, all, err
 		}
 		if at == filepath.Dir(at) {
-			return "", nil, errors.Errorf("no %s at or above %s", File, folder)
+			return "", nil, errors.Errorf("no %s at or above %s", FileName, folder)
 		}
 	}
 }
@@ -93,8 +93,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if listed(all, filepath.ToSlash(own), t.Name()) && os.Getenv(Variable) == "" {
-		t.Skipf("known red: %s %s, see %s", own, t.Name(), File)
+	if listed(all, filepath.ToSlash(own), t.Name()) && os.Getenv(EnvVar) == "" {
+		t.Skipf("known red: %s %s, see %s", own, t.Name(), FileName)
 	}
 }
 
--- a/world/knownred/knownred_test.go
+++ b/world/knownred/knownred_test.go
@@ -38,13 +38,13 @@
 	root := t.TempDir()
 	folder := filepath.Join(root, "c")
 	must.NoError(t, os.Mkdir(folder, 0o700))
-	must.NoError(t, os.WriteFile(filepath.Join(root, File), []byte("test: c "+t.Name()+"/listed\n"), 0o600))
+	must.NoError(t, os.WriteFile(filepath.Join(root, FileName), []byte("test: c "+t.Name()+"/listed\n"), 0o600))
 	t.Chdir(folder)
 	for _, c := range []struct {
 		name, variable string
 		skipped        bool
 	}{{"listed", "", true}, {"other", "", false}, {"listed", "1", false}} {
-		t.Setenv(Variable, c.variable)
+		t.Setenv(EnvVar, c.variable)
 		recorder := &skipRecorder{TB: t, name: t.Name() + "/" + c.name}
 		Skip(recorder)
 		must.Eq(t, c.skipped, recorder.skipped)
--- a/world/link/quiet.go
+++ b/world/link/quiet.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// quieter is implemented by connections that are not sockets.
-type quieter interface {
-	Quiet() bool
+// reusabilityChecker is implemented by connections that are not sockets.
+type reusabilityChecker interface {
+	Reusable() bool
 }
 
-// Quiet reports whether an idle link is still open and has nothing to read.
+// Reusable reports whether an idle link is still open and has nothing to read.
 // It looks without waiting and takes nothing from the link.
-func Quiet(conn net.Conn) bool {
-	if q, ok := conn.(quieter); ok {
-		return q.Quiet()
+func Reusable(conn net.Conn) bool {
+	if q, ok := conn.(reusabilityChecker); ok {
+		return q.Reusable()
 	}
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/world/link/socket.go
+++ b/world/link/socket.go
@@ -28,34 +28,34 @@
 // SilentLimit is how long a link may go without a sign of life.
 const SilentLimit = 2 * time.Second
 
-// Bounds are those of one kind of link.
-type Bounds struct {
+// Timeouts are those of one kind of link.
+type Timeouts struct {
 	Silent  time.Duration // without a sign of life
 	Unacked time.Duration // with bytes that the peer does not take
 }
 
 // Kinds of links.
 var (
-	Body    = Bounds{Silent: SilentLimit, Unacked: 30 * time.Second} // carries bodies of any size
-	Message = Bounds{Silent: SilentLimit, Unacked: SilentLimit}      // carries short messages
+	BodyTimeouts    = Timeouts{Silent: SilentLimit, Unacked: 30 * time.Second} // carries bodies of any size
+	MessageTimeouts = Timeouts{Silent: SilentLimit, Unacked: SilentLimit}      // carries short messages
 )
 
 const (
-	dialTimeout     = time.Second
-	keepaliveShare  = 2 // keepalive probes in one silent limit
-	idleLimit       = 30 * time.Second
-	maxIdlePerHost  = 64
-	keepaliveProbes = 4
+	dialTimeout          = time.Second
+	probesPerSilentLimit = 2 // keepalive probes in one silent limit
+	idleLimit            = 30 * time.Second
+	maxIdlePerHost       = 64
+	keepaliveProbes      = 4
 )
 
 // Dialer returns a dialer of links with the bounds.
-func Dialer(b Bounds) *net.Dialer {
-	return &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepalive(b.Silent), Control: control(b.Unacked)}
+func Dialer(b Timeouts) *net.Dialer {
+	return &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepaliveConfig(b.Silent), Control: setUserTimeout(b.Unacked)}
 }
 
 // Listen opens a listener whose links have the bounds.
-func Listen(ctx context.Context, address string, b Bounds) (net.Listener, error) {
-	cfg := net.ListenConfig{KeepAliveConfig: keepalive(b.Silent), Control: control(b.Unacked)}
+func Listen(ctx context.Context, address string, b Timeouts) (net.Listener, error) {
+	cfg := net.ListenConfig{KeepAliveConfig: keepaliveConfig(b.Silent), Control: setUserTimeout(b.Unacked)}
 	listener, err := cfg.Listen(ctx, "tcp", address)
 	return listener, errors.Wrapf(err, "listen on %s", address)
 }
@@ -64,17 +64,17 @@
 // processes.
 func Transport() *http.Transport {
 	return &http.Transport{
-		DialContext: Dialer(Message).DialContext, IdleConnTimeout: idleLimit, MaxIdleConnsPerHost: maxIdlePerHost,
+		DialContext: Dialer(MessageTimeouts).DialContext, IdleConnTimeout: idleLimit, MaxIdleConnsPerHost: maxIdlePerHost,
 	}
 }
 
-// keepalive asks for signs of life more often than the limit.
-func keepalive(silent time.Duration) net.KeepAliveConfig {
-	step := max(silent/keepaliveShare, time.Second)
+// keepaliveConfig asks for signs of life more often than the limit.
+func keepaliveConfig(silent time.Duration) net.KeepAliveConfig {
+	step := max(silent/probesPerSilentLimit, time.Second)
 	return net.KeepAliveConfig{Enable: true, Idle: step, Interval: step, Count: keepaliveProbes}
 }
 
-func control(unacked time.Duration) func(network, address string, c syscall.RawConn) error {
+func setUserTimeout(unacked time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
--- a/world/logging/logging.go
+++ b/world/logging/logging.go
@@ -32,33 +32,33 @@
 		TimeFormat:        "2006-01-02T15:04:05.000000Z07:00",
 		IndependentLevels: true,
 	})
-	return &logger{Logger: inner, family: &family{members: map[string][]hclog.Logger{"": {inner}}}}
+	return &logger{Logger: inner, registry: &registry{loggers: map[string][]hclog.Logger{"": {inner}}}}
 }
 
-// family remembers the loggers of a program by the name of their package.
-type family struct {
+// registry remembers the loggers of a program by the name of their package.
+type registry struct {
 	mu      sync.Mutex
-	members map[string][]hclog.Logger
+	loggers map[string][]hclog.Logger
 }
 
 // logger registers each logger that is derived from it.
 type logger struct {
 	hclog.Logger
-	name   string
-	family *family
+	name     string
+	registry *registry
 }
 
-func (l *logger) join(name string, inner hclog.Logger) hclog.Logger {
-	l.family.mu.Lock()
-	defer l.family.mu.Unlock()
-	l.family.members[name] = append(l.family.members[name], inner)
-	return &logger{Logger: inner, name: name, family: l.family}
+func (l *logger) register(name string, inner hclog.Logger) hclog.Logger {
+	l.registry.mu.Lock()
+	defer l.registry.mu.Unlock()
+	l.registry.loggers[name] = append(l.registry.loggers[name], inner)
+	return &logger{Logger: inner, name: name, registry: l.registry}
 }
 
 // Named returns the logger of a package.
 func (l *logger) Named(name string) hclog.Logger {
 	full := strings.TrimPrefix(l.name+"."+name, ".")
-	return l.join(full, l.Logger.Named(name))
+	return l.register(full, l.Logger.Named(name))
 }
 
 // SetLevel changes the level of one package while the program runs, or of all
@@ -73,16 +73,16 @@
 		log.SetLevel(wanted)
 		return nil
 	}
-	return l.family.set(name, wanted)
+	return l.registry.set(name, wanted)
 }
 
-func (f *family) set(name string, level hclog.Level) error {
+func (f *registry) set(name string, level hclog.Level) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if name != "" && f.members[name] == nil {
+	if name != "" && f.loggers[name] == nil {
 		return errors.Errorf("no package logs as %q; there are %s", name, strings.Join(f.names(), ", "))
 	}
-	for member, loggers := range f.members {
+	for member, loggers := range f.loggers {
 		if name != "" && member != name {
 			continue
 		}
@@ -93,9 +93,9 @@
 	return nil
 }
 
-func (f *family) names() []string {
+func (f *registry) names() []string {
 	var all []string
-	for name := range f.members {
+	for name := range f.loggers {
 		if name != "" {
 			all = append(all, name)
 		}
--- a/world/outcome/outcome.go
+++ b/world/outcome/outcome.go
@@ -59,12 +59,12 @@
 	Internal         Reason = "internal"
 )
 
-type reasonFacts struct {
+type reasonProperties struct {
 	status     int
 	retryAfter time.Duration // zero: a retry is not advised
 }
 
-var facts = map[Reason]reasonFacts{
+var properties = map[Reason]reasonProperties{
 	UnknownService:   {http.StatusNotFound, 0},
 	NoRule:           {http.StatusNotFound, 0},
 	NoInstance:       {http.StatusServiceUnavailable, time.Second},
@@ -112,7 +112,7 @@
 func (p *Problem) Detail() string { return p.detail }
 
 // Status returns the HTTP status.
-func (p *Problem) Status() int { return facts[p.reason].status }
+func (p *Problem) Status() int { return properties[p.reason].status }
 
 // Error returns the outcome, reason and detail.
 func (p *Problem) Error() string { return string(p.kind) + ": " + string(p.reason) + ": " + p.detail }
@@ -129,7 +129,7 @@
 
 // Write sends the problem as an answer.
 func (p *Problem) Write(w http.ResponseWriter, decisionID string) {
-	f := facts[p.reason]
+	f := properties[p.reason]
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set(Header, string(p.kind))
--- a/world/program/flags.go
+++ b/world/program/flags.go
@@ -50,9 +50,9 @@
 	return append(setting.FromEnvironment(s.Environment, defaults, os.LookupEnv), setting.FromFlags(flags)...)
 }
 
-// Settled reports whether the program ends here, and with which exit code:
+// ShouldExit reports whether the program ends here, and with which exit code:
 // when the settings have errors, or were only to be checked or printed.
-func (f Flags) Settled(out, errOut io.Writer, cfg any, findings finding.List) (bool, int) {
+func (f Flags) ShouldExit(out, errOut io.Writer, cfg any, findings finding.List) (bool, int) {
 	if f.PrintConfig {
 		if err := setting.Print(out, cfg); err != nil {
 			return true, fail(errOut, "settings", err)
--- a/world/program/level.go
+++ b/world/program/level.go
@@ -12,9 +12,9 @@
 // debugLevel is what SIGUSR1 sets; SIGUSR2 goes back.
 const debugLevel = "debug"
 
-// followLevel changes the log level on signals until the returned function is
+// handleLevelSignals changes the log level on signals until the returned function is
 // called: SIGUSR1 sets debug for all packages, SIGUSR2 the level at the start.
-func followLevel(logger hclog.Logger) func() {
+func handleLevelSignals(logger hclog.Logger) func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2)
 	first := logger.GetLevel().String()
--- a/world/program/program.go
+++ b/world/program/program.go
@@ -42,7 +42,7 @@
 	if err := start(app); err != nil {
 		return fail(w, name, err)
 	}
-	defer followLevel(logger)()
+	defer handleLevelSignals(logger)()
 	code := ExitOK
 	select {
 	case s := <-signals:
--- a/world/program/program_test.go
+++ b/world/program/program_test.go
@@ -68,17 +68,17 @@
 	}
 	var out, errOut bytes.Buffer
 	var findings finding.List
-	settled, _ := program.Flags{}.Settled(&out, &errOut, &section{}, findings)
+	settled, _ := program.Flags{}.ShouldExit(&out, &errOut, &section{}, findings)
 	must.False(t, settled)
-	settled, code := program.Flags{CheckConfig: true}.Settled(&out, &errOut, &section{}, findings)
+	settled, code := program.Flags{CheckConfig: true}.ShouldExit(&out, &errOut, &section{}, findings)
 	must.True(t, settled)
 	must.Eq(t, program.ExitOK, code)
-	settled, code = program.Flags{PrintConfig: true}.Settled(&out, &errOut, &section{Name: "x"}, findings)
+	settled, code = program.Flags{PrintConfig: true}.ShouldExit(&out, &errOut, &section{Name: "x"}, findings)
 	must.True(t, settled)
 	must.Eq(t, program.ExitOK, code)
 	must.StrContains(t, out.String(), "# who\nname = 'x'")
 	findings.Add(finding.Error, finding.At("f", 1, 2), "wrong", "")
-	settled, code = program.Flags{}.Settled(&out, &errOut, &section{}, findings)
+	settled, code = program.Flags{}.ShouldExit(&out, &errOut, &section{}, findings)
 	must.True(t, settled)
 	must.Eq(t, program.ExitSettings, code)
 	must.Eq(t, "f:1:2: error: wrong\n", errOut.String())
--- a/world/program/reload.go
+++ b/world/program/reload.go
@@ -15,9 +15,9 @@
 // without a signal.
 const settingsInterval = 2 * time.Second
 
-// FollowSettings calls a function on SIGHUP, and now and then without one,
+// WatchSettings calls a function on SIGHUP, and now and then without one,
 // until the context ends. The function finds out whether anything changed.
-func FollowSettings(ctx context.Context, read func()) {
+func WatchSettings(ctx context.Context, read func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -37,7 +37,7 @@
 // Reloader returns a function that reads changed settings again: nil if their
 // file has not changed, or cannot be used.
 func Reloader[T any](path string, load func(path string) (*T, finding.List), logger hclog.Logger) func() *T {
-	change := NewFileChange(path)
+	change := NewChangeDetector(path)
 	return func() *T {
 		if !change.Changed() {
 			return nil
@@ -51,23 +51,23 @@
 	}
 }
 
-// FileChange tells whether a file changed since it was last asked.
-type FileChange struct {
+// ChangeDetector tells whether a file changed since it was last asked.
+type ChangeDetector struct {
 	path string
 	size int64
 	at   time.Time
 }
 
-// NewFileChange returns the state of a file now.
-func NewFileChange(path string) *FileChange {
-	c := &FileChange{path: path}
+// NewChangeDetector returns the state of a file now.
+func NewChangeDetector(path string) *ChangeDetector {
+	c := &ChangeDetector{path: path}
 	c.Changed()
 	return c
 }
 
 // Changed reports whether size or time of the file are other than before. A
 // file that cannot be seen has not changed.
-func (c *FileChange) Changed() bool {
+func (c *ChangeDetector) Changed() bool {
 	info, err := os.Stat(c.path)
 	if err != nil {
 		return false
--- a/world/setting/address.go
+++ b/world/setting/address.go
@@ -2,9 +2,9 @@
 
 import "net"
 
-// Loopback reports whether a listen address can be reached from this machine
+// IsLoopback reports whether a listen address can be reached from this machine
 // only.
-func Loopback(address string) bool {
+func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
--- a/world/setting/check.go
+++ b/world/setting/check.go
@@ -26,8 +26,8 @@
 	c.findings.Add(finding.Error, c.doc.Place(key), key+" "+text, hint)
 }
 
-// Given reports a key that has no value.
-func (c *Checker) Given(key, value, hint string) {
+// Required reports a key that has no value.
+func (c *Checker) Required(key, value, hint string) {
 	if value == "" {
 		c.Fail(key, "is empty", hint)
 	}
@@ -45,9 +45,9 @@
 	return err == nil
 }
 
-// Told reports an address that others are told to call, and that stands for
+// Advertised reports an address that others are told to call, and that stands for
 // every address of this machine.
-func (c *Checker) Told(key, address string) {
+func (c *Checker) Advertised(key, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return
@@ -94,9 +94,9 @@
 	}
 }
 
-// Guarded reports a listener beyond loopback that takes calls without a key.
-func (c *Checker) Guarded(name, address string, keyed, allowed bool) {
-	if !keyed && !allowed && !Loopback(address) {
+// Authenticated reports a listener beyond loopback that takes calls without a key.
+func (c *Checker) Authenticated(name, address string, keyed, allowed bool) {
+	if !keyed && !allowed && !IsLoopback(address) {
 		c.Fail(name, "is beyond loopback and there are no keys", "set the key files of [keys], or listen.allowUnkeyed = true")
 	}
 }
--- a/world/setting/field.go
+++ b/world/setting/field.go
@@ -9,17 +9,17 @@
 	"github.com/pkg/errors"
 )
 
-// entry is one key of a settings struct with the field that holds its value.
-type entry struct {
+// settingsKey is one key of a settings struct with the field that holds its value.
+type settingsKey struct {
 	name    string // dotted
 	comment string
 	field   reflect.Value
 }
 
 // keysOf lists the keys of a pointer to a settings struct.
-func keysOf(into any) []entry { return appendKeys(nil, reflect.ValueOf(into).Elem(), "") }
+func keysOf(into any) []settingsKey { return appendKeys(nil, reflect.ValueOf(into).Elem(), "") }
 
-func appendKeys(all []entry, section reflect.Value, prefix string) []entry {
+func appendKeys(all []settingsKey, section reflect.Value, prefix string) []settingsKey {
 	for n := range section.NumField() {
 		field := section.Type().Field(n)
 		name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
@@ -30,22 +30,22 @@
 			all = appendKeys(all, section.Field(n), prefix+name+".")
 			continue
 		}
-		all = append(all, entry{name: prefix + name, comment: field.Tag.Get("comment"), field: section.Field(n)})
+		all = append(all, settingsKey{name: prefix + name, comment: field.Tag.Get("comment"), field: section.Field(n)})
 	}
 	return all
 }
 
-func find(known []entry, name string) (entry, bool) {
+func findKey(known []settingsKey, name string) (settingsKey, bool) {
 	for _, k := range known {
 		if k.name == name {
 			return k, true
 		}
 	}
-	return entry{}, false
+	return settingsKey{}, false
 }
 
 // assign stores a value that was read from TOML.
-func (k entry) assign(value any) error {
+func (k settingsKey) assign(value any) error {
 	box := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: k.field.Type(), Tag: `toml:"v"`}}))
 	text, err := toml.Marshal(map[string]any{"v": value})
 	if err != nil {
@@ -59,7 +59,7 @@
 }
 
 // assignText stores a value as it stands in an environment variable or flag.
-func (k entry) assignText(text string) error {
+func (k settingsKey) assignText(text string) error {
 	switch k.field.Kind() {
 	case reflect.String:
 		return k.assign(text)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (k entry) kind() string {
+func (k settingsKey) kind() string {
 	switch k.field.Kind() {
 	case reflect.String:
 		return "a text"
@@ -96,11 +96,11 @@
 
 // leaves lists the values of a tree in order of their names. A table where a
 // key belongs, or the reverse, is a leaf of its own.
-func leaves(tree map[string]any, prefix string, known []entry) []leaf {
+func leaves(tree map[string]any, prefix string, known []settingsKey) []leaf {
 	var all []leaf
 	for name, value := range tree {
 		full := prefix + name
-		_, isKey := find(known, full)
+		_, isKey := findKey(known, full)
 		if table, ok := value.(map[string]any); ok && !isKey && isSection(known, full) {
 			all = append(all, leaves(table, full+".", known)...)
 			continue
@@ -111,7 +111,7 @@
 	return all
 }
 
-func isSection(known []entry, name string) bool {
+func isSection(known []settingsKey, name string) bool {
 	for _, k := range known {
 		if strings.HasPrefix(k.name, name+".") {
 			return true
--- a/world/setting/override.go
+++ b/world/setting/override.go
@@ -21,11 +21,11 @@
 	return Override{key: key, value: value, source: source}
 }
 
-func (o Override) apply(findings *finding.List, doc *Document, known []entry) {
+func (o Override) apply(findings *finding.List, doc *Document, known []settingsKey) {
 	place := finding.At(o.source, 0, 0)
-	k, ok := find(known, o.key)
+	k, ok := findKey(known, o.key)
 	if !ok {
-		findings.Add(finding.Error, place, "there is no key "+o.key, nearest(o.key, known))
+		findings.Add(finding.Error, place, "there is no key "+o.key, suggestion(o.key, known))
 		return
 	}
 	if err := k.assignText(o.value); err != nil {
@@ -38,9 +38,9 @@
 	doc.places[o.key] = place
 }
 
-// Variable returns the environment variable of a key: host.stopLimitSeconds
+// EnvVar returns the environment variable of a key: host.stopLimitSeconds
 // below the prefix SNIPEBEAM_ENTRY is SNIPEBEAM_ENTRY_HOST_STOP_LIMIT_SECONDS.
-func Variable(prefix, key string) string {
+func EnvVar(prefix, key string) string {
 	var b strings.Builder
 	b.WriteString(prefix + "_")
 	for _, c := range key {
@@ -61,7 +61,7 @@
 func FromEnvironment(prefix string, into any, lookup func(string) (string, bool)) []Override {
 	var all []Override
 	for _, k := range keysOf(into) {
-		name := Variable(prefix, k.name)
+		name := EnvVar(prefix, k.name)
 		if value, ok := lookup(name); ok {
 			all = append(all, NewOverride(k.name, value, name))
 		}
--- a/world/setting/setting.go
+++ b/world/setting/setting.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// maxNearestDistance is the number of edits up to which a key is suggested.
-	maxNearestDistance = 4
+	// maxSuggestionDistance is the number of edits up to which a key is suggested.
+	maxSuggestionDistance = 4
 	// maxSyntaxFindings bounds how many unreadable lines are looked for.
 	maxSyntaxFindings = 20
 	// maxFileBytes bounds a settings file.
@@ -68,7 +68,7 @@
 // defaults.
 func Parse(file string, data []byte, into any, overrides ...Override) (*Document, finding.List) {
 	var findings finding.List
-	tree, data := readTree(file, data, &findings)
+	tree, data := decodeTree(file, data, &findings)
 	doc := &Document{file: file, places: keyPlaces(file, data)}
 	known := keysOf(into)
 	for _, leaf := range leaves(tree, "", known) {
@@ -80,9 +80,9 @@
 	return doc, findings
 }
 
-// readTree reads as much of a text as is TOML. Lines that are not are reported
+// decodeTree reads as much of a text as is TOML. Lines that are not are reported
 // and blanked.
-func readTree(file string, data []byte, findings *finding.List) (map[string]any, []byte) {
+func decodeTree(file string, data []byte, findings *finding.List) (map[string]any, []byte) {
 	for range maxSyntaxFindings {
 		tree := map[string]any{}
 		err := toml.Unmarshal(data, &tree)
@@ -117,10 +117,10 @@
 }
 
 // set stores one value of the file.
-func (d *Document) set(findings *finding.List, known []entry, l leaf) {
-	k, ok := find(known, l.name)
+func (d *Document) set(findings *finding.List, known []settingsKey, l leaf) {
+	k, ok := findKey(known, l.name)
 	if !ok {
-		findings.Add(finding.Error, d.Place(l.name), "there is no key "+l.name, nearest(l.name, known))
+		findings.Add(finding.Error, d.Place(l.name), "there is no key "+l.name, suggestion(l.name, known))
 		return
 	}
 	if err := k.assign(l.value); err != nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-func nearest(name string, known []entry) string {
-	best, bestDistance := "", maxNearestDistance+1
+func suggestion(name string, known []settingsKey) string {
+	best, bestDistance := "", maxSuggestionDistance+1
 	for _, candidate := range known {
 		if distance := levenshtein.ComputeDistance(name, candidate.name); distance < bestDistance {
 			best, bestDistance = candidate.name, distance
--- a/world/setting/setting_test.go
+++ b/world/setting/setting_test.go
@@ -79,5 +79,5 @@
 }
 
 func TestVariablesAreNamedAfterKeys(t *testing.T) {
-	must.Eq(t, "P_HOST_STOP_LIMIT_SECONDS", setting.Variable("P", "host.stopLimitSeconds"))
+	must.Eq(t, "P_HOST_STOP_LIMIT_SECONDS", setting.EnvVar("P", "host.stopLimitSeconds"))
 }
