--- a/world/finding/finding.go
+++ b/world/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects problems found in an input, each with its place,
-// so that all of them can be reported together.
+// Package finding collects the problems found in an input, each with its
+// position, so that all of them are reported together.
 //
 // Usage:
 //
@@ -31,8 +31,8 @@
 	return "error"
 }
 
-// Place is a position in an input. Line and column count from one; both are
-// zero for an input without lines, such as a flag.
+// Place is a position in an input. Line and column start at one; both are zero
+// for an input without lines, such as a flag.
 type Place struct {
 	file   string
 	line   int
@@ -53,7 +53,8 @@
 // Column returns the column in characters, counted from one.
 func (p Place) Column() int { return p.column }
 
-// String returns the place as file:line:column.
+// String returns the place as file:line:column, or the file alone for an input
+// without lines.
 func (p Place) String() string {
 	if p.line == 0 {
 		return p.file
@@ -78,7 +79,7 @@
 // Text returns what is wrong.
 func (f Finding) Text() string { return f.text }
 
-// Hint returns what to do about it, possibly empty.
+// Hint returns how to fix the problem, possibly empty.
 func (f Finding) Hint() string { return f.hint }
 
 // String returns the finding on one line.
@@ -90,7 +91,7 @@
 	return line + " (" + f.hint + ")"
 }
 
-// List is a set of findings. The zero value is empty and ready for use.
+// List is a collection of findings. The zero value is empty and ready to use.
 type List struct {
 	findings []Finding
 }
@@ -108,7 +109,7 @@
 // Len returns the number of findings.
 func (l *List) Len() int { return len(l.findings) }
 
-// All returns the findings in order of their places.
+// All returns the findings sorted by place.
 func (l *List) All() []Finding {
 	sorted := append([]Finding(nil), l.findings...)
 	sort.SliceStable(sorted, func(i, j int) bool { return before(sorted[i].place, sorted[j].place) })
@@ -133,23 +134,24 @@
 	return &Failure{list: *l}
 }
 
-// Failure is the error that carries a list of findings.
+// Failure is an error that carries a list of findings.
 type Failure struct {
 	list  List
 	brief bool
 }
 
-// Findings returns the findings in order of their places.
+// Findings returns the findings sorted by place.
 func (f *Failure) Findings() []Finding { return f.list.All() }
 
-// Error returns all findings, one a line, or their number.
+// Error returns all findings, one per line, or only their number if the failure
+// comes from Summary.
 func (f *Failure) Error() string {
 	if f.brief {
 		return fmt.Sprintf("%d findings", len(f.list.findings))
 	}
 	lines := make([]string, 0, len(f.list.findings))
-	for _, one := range f.list.All() {
-		lines = append(lines, one.String())
+	for _, found := range f.list.All() {
+		lines = append(lines, found.String())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -164,8 +166,9 @@
 	return a.column < b.column
 }
 
-// Summary returns an error that carries the findings and only counts them, for
-// those who have shown them, or nil if none is an error.
+// Summary returns an error that carries the findings but whose text is only
+// their number, for programs that have already printed them, or nil if none is
+// an error.
 func (l *List) Summary() error {
 	if !l.HasErrors() {
 		return nil
--- a/world/instance/instance.go
+++ b/world/instance/instance.go
@@ -1,4 +1,5 @@
-// Package instance describes one server of a service as it announced itself.
+// Package instance describes one back-end server of a service, as it announces
+// itself to the entry hosts.
 //
 // Usage:
 //
@@ -8,13 +9,13 @@
 
 import "github.com/snipebeam/snipebeam/world/wire"
 
-// Defaults for an instance that announces no value.
+// Defaults for values that an instance does not announce.
 const (
 	DefaultSlots    = 3
 	DefaultMaxLinks = 500
 )
 
-// ID names an instance, unique in the whole system.
+// ID identifies an instance and is unique in the whole system.
 type ID string
 
 // Instance is an immutable record of one announcement.
@@ -30,10 +31,10 @@
 	incarnation uint64
 }
 
-// Option changes one property of an instance.
+// Option sets one property of an instance.
 type Option func(*Instance)
 
-// New returns an instance with the defaults and the given properties.
+// New returns an instance with default values, changed by the options.
 func New(id ID, service, address string, opts ...Option) *Instance {
 	i := &Instance{id: id, service: service, address: address, slots: DefaultSlots, maxLinks: DefaultMaxLinks}
 	for _, opt := range opts {
@@ -45,22 +46,23 @@
 // WithZone sets the availability zone.
 func WithZone(zone string) Option { return func(i *Instance) { i.zone = zone } }
 
-// WithSlots sets how many requests the instance runs at once.
+// WithSlots sets how many requests the instance runs concurrently.
 func WithSlots(n int) Option { return func(i *Instance) { i.slots = n } }
 
-// WithMaxLinks sets how many connections the instance takes.
+// WithMaxLinks sets how many persistent connections the instance accepts.
 func WithMaxLinks(n int) Option { return func(i *Instance) { i.maxLinks = n } }
 
-// WithCold marks an instance that has just started.
+// WithCold sets whether the instance has just started and is still warming up.
 func WithCold(cold bool) Option { return func(i *Instance) { i.cold = cold } }
 
-// WithDraining marks an instance that takes no new work.
+// WithDraining sets whether the instance accepts no new requests.
 func WithDraining(draining bool) Option { return func(i *Instance) { i.draining = draining } }
 
-// WithIncarnation sets the number that the instance raises on each start.
+// WithIncarnation sets the number that the instance increments on each start.
 func WithIncarnation(n uint64) Option { return func(i *Instance) { i.incarnation = n } }
 
-// FromWire returns the instance of a message.
+// FromWire converts a wire message. Slots and max links of zero take the
+// defaults.
 func FromWire(m *wire.Instance) *Instance {
 	i := New(ID(m.GetId()), m.GetService(), m.GetAddress(),
 		WithZone(m.GetZone()), WithCold(m.GetCold()), WithDraining(m.GetDraining()),
@@ -74,29 +76,29 @@
 	return i
 }
 
-// ID returns the instance's name.
+// ID returns the instance's unique name.
 func (i *Instance) ID() ID { return i.id }
 
 // Service returns the service that the instance belongs to.
 func (i *Instance) Service() string { return i.service }
 
-// Address returns the host and port that take requests.
+// Address returns the host and port that accept requests.
 func (i *Instance) Address() string { return i.address }
 
 // Zone returns the availability zone.
 func (i *Instance) Zone() string { return i.zone }
 
-// Slots returns how many requests the instance runs at once.
+// Slots returns how many requests the instance runs concurrently.
 func (i *Instance) Slots() int { return i.slots }
 
-// MaxLinks returns how many connections the instance takes.
+// MaxLinks returns how many persistent connections the instance accepts.
 func (i *Instance) MaxLinks() int { return i.maxLinks }
 
-// Cold reports whether the instance has just started.
+// Cold reports whether the instance has just started and is still warming up.
 func (i *Instance) Cold() bool { return i.cold }
 
-// Draining reports whether the instance takes no new work.
+// Draining reports whether the instance accepts no new requests.
 func (i *Instance) Draining() bool { return i.draining }
 
-// Incarnation returns the number that the instance raises on each start.
+// Incarnation returns the number that the instance increments on each start.
 func (i *Instance) Incarnation() uint64 { return i.incarnation }
--- a/world/key/key.go
+++ b/world/key/key.go
@@ -1,11 +1,11 @@
-// Package key authenticates calls between the system's processes and from
-// operators and upstreams with shared keys read from files. Two keys are
-// accepted at a time, so that they can be rotated.
+// Package key authenticates requests between the system's processes, and from
+// operators and upstreams, with shared keys read from files. Up to two keys are
+// accepted at the same time, so that keys can be rotated without downtime.
 //
 // Usage:
 //
 //	ring, err := key.Load("peers.key")
-//	server := ring.Guard(handler)
+//	server := ring.Authenticate(handler)
 //	client := ring.Client(http.DefaultClient)
 package key
 
@@ -19,13 +19,14 @@
 	"github.com/pkg/errors"
 )
 
-// MaxKeys is the number of keys accepted at a time.
+// MaxKeys is the number of keys accepted at the same time: the current one and
+// the one it replaces.
 const MaxKeys = 2
 
 const scheme = "Bearer "
 
-// Ring holds the accepted keys; the first one is sent. An empty ring accepts
-// everything.
+// Ring holds the accepted keys. Outgoing requests carry the first one. An empty
+// ring accepts every request.
 type Ring struct {
 	keys []string
 }
@@ -33,7 +34,8 @@
 // New returns a ring of keys.
 func New(keys ...string) *Ring { return &Ring{keys: keys} }
 
-// Load reads a ring from a file, one key a line; an empty path is an empty ring.
+// Load reads a ring from a file with one key per line. An empty path yields an
+// empty ring.
 func Load(path string) (*Ring, error) {
 	if path == "" {
 		return New(), nil
@@ -49,10 +51,11 @@
 	return New(keys...), nil
 }
 
-// Empty reports whether the ring accepts everything.
+// Empty reports whether the ring has no keys and so accepts every request.
 func (r *Ring) Empty() bool { return len(r.keys) == 0 }
 
-// Accepts reports whether a request carries one of the keys.
+// Accepts reports whether a request carries one of the keys as a bearer token.
+// The keys are hashed and compared in constant time.
 func (r *Ring) Accepts(req *http.Request) bool {
 	if r.Empty() {
 		return true
@@ -66,7 +69,7 @@
 	return accepted == 1
 }
 
-// Authenticate refuses requests that carry none of the keys.
+// Authenticate returns a handler that rejects requests without an accepted key.
 func (r *Ring) Authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if !r.Accepts(req) {
@@ -77,28 +80,29 @@
 	})
 }
 
-// Client returns a copy of an HTTP client that sends the first key.
+// Client returns a copy of an HTTP client that sends the first key with each
+// request.
 func (r *Ring) Client(base *http.Client) *http.Client {
 	c := *base
-	inner := c.Transport
-	if inner == nil {
-		inner = http.DefaultTransport
+	transport := c.Transport
+	if transport == nil {
+		transport = http.DefaultTransport
 	}
-	c.Transport = &authTransport{ring: r, inner: inner}
+	c.Transport = &authTransport{ring: r, base: transport}
 	return &c
 }
 
 type authTransport struct {
-	ring  *Ring
-	inner http.RoundTripper
+	ring *Ring
+	base http.RoundTripper
 }
 
 // RoundTrip adds the key to a copy of the request.
-func (s *authTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if s.ring.Empty() {
-		return s.inner.RoundTrip(req)
+func (t *authTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	if t.ring.Empty() {
+		return t.base.RoundTrip(req)
 	}
-	signed := req.Clone(req.Context())
-	signed.Header.Set("Authorization", scheme+s.ring.keys[0])
-	return s.inner.RoundTrip(signed)
+	authenticated := req.Clone(req.Context())
+	authenticated.Header.Set("Authorization", scheme+t.ring.keys[0])
+	return t.base.RoundTrip(authenticated)
 }
--- a/world/key/mac.go
+++ b/world/key/mac.go
@@ -5,10 +5,12 @@
 	"crypto/sha256"
 )
 
-// MACBytes is the length of a message authentication code.
+// MACBytes is the length of a message authentication code, an HMAC-SHA256
+// truncated to 128 bits.
 const MACBytes = 16
 
-// MAC returns the code of a message under the first key, zeros without keys.
+// MAC returns the authentication code of a message under the first key. A ring
+// without keys returns zeros.
 func (r *Ring) MAC(message []byte) []byte {
 	if r.Empty() {
 		return make([]byte, MACBytes)
@@ -16,8 +18,8 @@
 	return mac(r.keys[0], message)
 }
 
-// VerifyMAC reports whether a code is that of one of the keys. Without keys
-// every message is authentic.
+// VerifyMAC reports whether a code is valid for the message under one of the
+// keys. A ring without keys accepts every message.
 func (r *Ring) VerifyMAC(message, code []byte) bool {
 	if r.Empty() {
 		return true
--- a/world/knownred/knownred.go
+++ b/world/knownred/knownred.go
@@ -1,7 +1,8 @@
-// Package knownred lets a test that fails for a real fault land without hiding
-// it: the test is listed in KNOWN-RED.txt at the root of the repository, is
-// skipped with a log line while it is listed there, and is run on its own by
-// bench/knownred, which reports one that passes again.
+// Package knownred skips tests that fail because of a known, open fault. Such a
+// test is listed in KNOWN-RED.txt at the root of the repository and is skipped
+// with a log line while it is listed there. The command bench/knownred runs each
+// listed test separately and reports those that pass again, so that a fault
+// stays visible.
 //
 // An entry is a block of lines; the first names the package and the test:
 //
@@ -26,9 +27,9 @@
 )
 
 const (
-	// FileName is the list, at the root of the repository.
+	// FileName is the name of the list at the root of the repository.
 	FileName = "KNOWN-RED.txt"
-	// EnvVar makes listed tests run.
+	// EnvVar is the environment variable that makes listed tests run.
 	EnvVar = "SNIPEBEAM_KNOWN_RED"
 
 	prefix = "test:"
@@ -36,17 +37,17 @@
 
 // Entry is a listed test.
 type Entry struct {
-	folder string // of the package, below the root
+	folder string // package folder, relative to the root
 	test   string
 }
 
-// Folder returns the package's folder below the root of the repository.
+// Folder returns the package's folder, relative to the root of the repository.
 func (e Entry) Folder() string { return e.folder }
 
 // Test returns the name of the test.
 func (e Entry) Test() string { return e.test }
 
-// Parse reads the list.
+// Parse reads the entries of a list. Lines other than test lines are ignored.
 func Parse(text string) ([]Entry, error) {
 	var all []Entry
 	for line := range strings.Lines(text) {
@@ -63,22 +64,22 @@
 	return all, nil
 }
 
-// Load reads the list of the repository that a folder belongs to, and returns
-// the repository's root with it.
+// Load returns the root of the repository that a folder belongs to and the
+// entries of its list. The root is the nearest parent folder with a list.
 func Load(folder string) (string, []Entry, error) {
-	for at := folder; ; at = filepath.Dir(at) {
-		text, err := os.ReadFile(filepath.Join(at, FileName))
+	for dir := folder; ; dir = filepath.Dir(dir) {
+		text, err := os.ReadFile(filepath.Join(dir, FileName))
 		if err == nil {
 			all, err := Parse(string(text))
-			return at, all, err
+			return dir, all, err
 		}
-		if at == filepath.Dir(at) {
+		if dir == filepath.Dir(dir) {
 			return "", nil, errors.Errorf("no %s at or above %s", FileName, folder)
 		}
 	}
 }
 
-// Skip skips a test that is listed, unless the variable asks for it.
+// Skip skips a listed test, unless the environment variable EnvVar is set.
 func Skip(t testing.TB) {
 	t.Helper()
 	folder, err := os.Getwd()
@@ -89,18 +90,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := filepath.Rel(root, folder)
+	pkg, err := filepath.Rel(root, folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if listed(all, filepath.ToSlash(own), t.Name()) && os.Getenv(EnvVar) == "" {
-		t.Skipf("known red: %s %s, see %s", own, t.Name(), FileName)
+	if listed(all, filepath.ToSlash(pkg), t.Name()) && os.Getenv(EnvVar) == "" {
+		t.Skipf("known red: %s %s, see %s", pkg, t.Name(), FileName)
 	}
 }
 
 func listed(all []Entry, folder, test string) bool {
-	for _, one := range all {
-		if one.folder == folder && one.test == test {
+	for _, entry := range all {
+		if entry.folder == folder && entry.test == test {
 			return true
 		}
 	}
--- a/world/knownred/knownred_test.go
+++ b/world/knownred/knownred_test.go
@@ -25,7 +25,7 @@
 	must.ErrorContains(t, err, "PACKAGE TEST")
 }
 
-func TestOnlyTheExactNameIsListed(t *testing.T) {
+func TestListMatchesExactNamesOnly(t *testing.T) {
 	all, err := Parse(list)
 	must.NoError(t, err)
 	must.True(t, listed(all, "c", "TestTwo"))
@@ -34,7 +34,7 @@
 	must.False(t, listed(all, "a", "TestTwo"))
 }
 
-func TestAListedTestIsSkippedUnlessAskedFor(t *testing.T) {
+func TestListedTestIsSkippedUnlessVariableIsSet(t *testing.T) {
 	root := t.TempDir()
 	folder := filepath.Join(root, "c")
 	must.NoError(t, os.Mkdir(folder, 0o700))
@@ -51,7 +51,7 @@
 	}
 }
 
-// skipRecorder notes a skip in place of making it.
+// skipRecorder records a skip instead of skipping the running test.
 type skipRecorder struct {
 	testing.TB
 	name    string
--- a/world/link/quiet.go
+++ b/world/link/liveness.go
@@ -8,16 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// reusabilityChecker is implemented by connections that are not sockets.
+// reusabilityChecker is implemented by connections that are not sockets and
+// check themselves.
 type reusabilityChecker interface {
 	Reusable() bool
 }
 
-// Reusable reports whether an idle link is still open and has nothing to read.
-// It looks without waiting and takes nothing from the link.
+// Reusable reports whether an idle link is still open and has no unread data.
+// It peeks at the socket without blocking and consumes nothing. A connection
+// that is not a socket counts as reusable.
 func Reusable(conn net.Conn) bool {
-	if q, ok := conn.(reusabilityChecker); ok {
-		return q.Reusable()
+	if checker, ok := conn.(reusabilityChecker); ok {
+		return checker.Reusable()
 	}
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -27,17 +29,17 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, peekErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = peekErr == unix.EAGAIN
+		var buf [1]byte
+		_, _, peekErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = peekErr == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// SilentFor returns how long ago the last sign of life came over a link, 0
-// if that is not known.
+// SilentFor returns the time since the peer's last acknowledgement on a link, or
+// 0 if the connection is not a socket or the kernel gives no value.
 func SilentFor(conn net.Conn) time.Duration {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/world/logging/logging.go
+++ b/world/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging builds the JSON-lines logger that all programs share. Each
-// package logs under a name of its own, whose level can be changed while the
-// program runs.
+// Package logging creates the logger that all programs use, which writes one
+// JSON object per line. Each package has a named logger, whose level can be
+// changed at run time.
 //
 // Usage:
 //
@@ -19,10 +19,11 @@
 	"github.com/pkg/errors"
 )
 
-// Levels returns the names of the levels, the most talkative first.
+// Levels returns the names of the levels, the most verbose first.
 func Levels() []string { return []string{"trace", "debug", "info", "warn", "error"} }
 
-// New returns a logger that writes one JSON object a line.
+// New returns the root logger of a program, which writes one JSON object per
+// line.
 func New(program, level string, w io.Writer) hclog.Logger {
 	inner := hclog.New(&hclog.LoggerOptions{
 		Name:              program,
@@ -35,13 +36,14 @@
 	return &logger{Logger: inner, registry: &registry{loggers: map[string][]hclog.Logger{"": {inner}}}}
 }
 
-// registry remembers the loggers of a program by the name of their package.
+// registry holds all loggers of a program by package name. The root logger has
+// the empty name.
 type registry struct {
 	mu      sync.Mutex
 	loggers map[string][]hclog.Logger
 }
 
-// logger registers each logger that is derived from it.
+// logger adds each logger derived from it to the registry.
 type logger struct {
 	hclog.Logger
 	name     string
@@ -55,47 +57,47 @@
 	return &logger{Logger: inner, name: name, registry: l.registry}
 }
 
-// Named returns the logger of a package.
+// Named returns a new logger for a package and registers it under that name.
 func (l *logger) Named(name string) hclog.Logger {
 	full := strings.TrimPrefix(l.name+"."+name, ".")
 	return l.register(full, l.Logger.Named(name))
 }
 
-// SetLevel changes the level of one package while the program runs, or of all
-// of them if the name is empty.
+// SetLevel changes the level of one package's loggers at run time, or of all
+// loggers if the name is empty.
 func SetLevel(log hclog.Logger, name, level string) error {
-	wanted := hclog.LevelFromString(level)
-	if wanted == hclog.NoLevel || wanted == hclog.Off {
-		return errors.Errorf("there is no level %q; it is one of %s", level, strings.Join(Levels(), ", "))
+	parsed := hclog.LevelFromString(level)
+	if parsed == hclog.NoLevel || parsed == hclog.Off {
+		return errors.Errorf("unknown log level %q, want one of %s", level, strings.Join(Levels(), ", "))
 	}
 	l, ok := log.(*logger)
 	if !ok {
-		log.SetLevel(wanted)
+		log.SetLevel(parsed)
 		return nil
 	}
-	return l.registry.set(name, wanted)
+	return l.registry.set(name, parsed)
 }
 
-func (f *registry) set(name string, level hclog.Level) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if name != "" && f.loggers[name] == nil {
-		return errors.Errorf("no package logs as %q; there are %s", name, strings.Join(f.names(), ", "))
+func (r *registry) set(name string, level hclog.Level) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if name != "" && r.loggers[name] == nil {
+		return errors.Errorf("no logger named %q, have %s", name, strings.Join(r.names(), ", "))
 	}
-	for member, loggers := range f.loggers {
-		if name != "" && member != name {
+	for registered, loggers := range r.loggers {
+		if name != "" && registered != name {
 			continue
 		}
-		for _, one := range loggers {
-			one.SetLevel(level)
+		for _, log := range loggers {
+			log.SetLevel(level)
 		}
 	}
 	return nil
 }
 
-func (f *registry) names() []string {
+func (r *registry) names() []string {
 	var all []string
-	for name := range f.loggers {
+	for name := range r.loggers {
 		if name != "" {
 			all = append(all, name)
 		}
--- a/world/logging/logging_test.go
+++ b/world/logging/logging_test.go
@@ -23,5 +23,5 @@
 	must.Eq(t, 1, strings.Count(out.String(), "\n"))
 	must.StrContains(t, out.String(), `"@message":"b"`)
 	must.ErrorContains(t, logging.SetLevel(log, "rout", "debug"), "peer, route")
-	must.ErrorContains(t, logging.SetLevel(log, "route", "loud"), "there is no level")
+	must.ErrorContains(t, logging.SetLevel(log, "route", "loud"), "unknown log level")
 }
--- a/world/outcome/outcome.go
+++ b/world/outcome/outcome.go
@@ -1,4 +1,5 @@
-// Package outcome names what became of a request and writes it to a caller.
+// Package outcome defines how a request ended, and writes an outcome other than
+// a response of the upstream to the caller as a problem document.
 //
 // Usage:
 //
@@ -19,18 +20,19 @@
 	DecisionHeader = "Snipebeam-Decision"
 )
 
-// Kind is the one outcome of a request.
+// Kind is the outcome of a request. Each request has exactly one.
 type Kind string
 
-// Outcomes. NotRun is told only if no byte went to an upstream, or if the
-// upstream refused before it started.
+// Outcomes. NotRun is reported only if no byte was sent to an upstream, or if
+// the upstream rejected the request before executing it. Unknown means that the
+// upstream may have executed the request.
 const (
 	Answer  Kind = "answer"
 	NotRun  Kind = "not-run"
 	Unknown Kind = "unknown"
 )
 
-// Reason is machine-readable and stable.
+// Reason is the stable, machine-readable cause of an outcome.
 type Reason string
 
 // Reasons of outcomes other than an answer.
@@ -61,7 +63,7 @@
 
 type reasonProperties struct {
 	status     int
-	retryAfter time.Duration // zero: a retry is not advised
+	retryAfter time.Duration // zero if a retry is not advised
 }
 
 var properties = map[Reason]reasonProperties{
@@ -83,21 +85,21 @@
 	BodyTooLarge:     {http.StatusRequestEntityTooLarge, 0},
 	Malformed:        {http.StatusBadRequest, 0},
 	UpgradeRefused:   {http.StatusNotImplemented, 0},
-	CallerGone:       {499, 0},
+	CallerGone:       {499, 0}, // status that nginx uses for a request closed by the client
 	BodyCut:          {http.StatusBadRequest, 0},
 	AnswerLost:       {http.StatusConflict, 0},
 	Internal:         {http.StatusInternalServerError, 0},
 }
 
-// Problem is an outcome other than an answer. It is an error, and a JSON
-// problem body (RFC 9457).
+// Problem is an outcome other than an answer. It is an error, and is sent to
+// callers as a problem document (RFC 9457).
 type Problem struct {
 	kind   Kind
 	reason Reason
 	detail string
 }
 
-// New returns a problem.
+// New returns a problem. The detail is an explanation for people.
 func New(kind Kind, reason Reason, detail string) *Problem {
 	return &Problem{kind: kind, reason: reason, detail: detail}
 }
@@ -111,7 +113,7 @@
 // Detail returns the explanation for people.
 func (p *Problem) Detail() string { return p.detail }
 
-// Status returns the HTTP status.
+// Status returns the HTTP status for the reason.
 func (p *Problem) Status() int { return properties[p.reason].status }
 
 // Error returns the outcome, reason and detail.
@@ -127,22 +129,23 @@
 	Decision string `json:"decision,omitempty"`
 }
 
-// Write sends the problem as an answer.
+// Write sends the problem as the response. Retry-After is sent only if the
+// request was not executed and the reason advises a retry.
 func (p *Problem) Write(w http.ResponseWriter, decisionID string) {
-	f := properties[p.reason]
+	props := properties[p.reason]
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set(Header, string(p.kind))
 	h.Set(ReasonHeader, string(p.reason))
 	h.Set(DecisionHeader, decisionID)
-	if f.retryAfter > 0 && p.kind == NotRun {
-		h.Set("Retry-After", strconv.Itoa(int(f.retryAfter/time.Second)))
+	if props.retryAfter > 0 && p.kind == NotRun {
+		h.Set("Retry-After", strconv.Itoa(int(props.retryAfter/time.Second)))
 	}
-	w.WriteHeader(f.status)
+	w.WriteHeader(props.status)
 	body := problemBody{
-		Type: "about:blank", Title: http.StatusText(f.status), Status: f.status,
+		Type: "about:blank", Title: http.StatusText(props.status), Status: props.status,
 		Detail: p.detail, Outcome: p.kind, Reason: p.reason, Decision: decisionID,
 	}
-	// The caller may have gone; there is nobody left to tell.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/world/pause/pause.go
+++ b/world/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context can cut short.
+// Package pause sleeps until a time has passed or a context is done.
 //
 // Usage:
 //
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// For waits and reports whether the whole time has passed.
+// For sleeps for the duration and reports whether it passed in full, that is,
+// whether the context was not done first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/world/program/level.go
+++ b/world/program/level.go
@@ -9,21 +9,22 @@
 	"github.com/snipebeam/snipebeam/world/logging"
 )
 
-// debugLevel is what SIGUSR1 sets; SIGUSR2 goes back.
+// debugLevel is the level that SIGUSR1 sets.
 const debugLevel = "debug"
 
-// handleLevelSignals changes the log level on signals until the returned function is
-// called: SIGUSR1 sets debug for all packages, SIGUSR2 the level at the start.
+// handleLevelSignals changes the log level on signals until the returned
+// function is called. SIGUSR1 sets debug for all packages, SIGUSR2 restores the
+// level that the logger had when handleLevelSignals was called.
 func handleLevelSignals(logger hclog.Logger) func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2)
-	first := logger.GetLevel().String()
+	initial := logger.GetLevel().String()
 	done := make(chan struct{})
 	go func() {
 		for {
 			select {
 			case s := <-signals:
-				setLevel(logger, s, first)
+				setLevel(logger, s, initial)
 			case <-done:
 				return
 			}
@@ -35,8 +36,8 @@
 	}
 }
 
-func setLevel(logger hclog.Logger, s os.Signal, first string) {
-	level := first
+func setLevel(logger hclog.Logger, s os.Signal, initial string) {
+	level := initial
 	if s == syscall.SIGUSR1 {
 		level = debugLevel
 	}
--- a/world/program/program.go
+++ b/world/program/program.go
@@ -1,5 +1,6 @@
-// Package program holds what the programs that run for long share: the flags
-// about settings, exit codes, and starting and stopping an fx application.
+// Package program holds the code that the long-running programs share: flags for
+// settings, exit codes, reloading of settings, log level signals, and starting
+// and stopping an fx application.
 //
 // Usage:
 //
@@ -29,13 +30,14 @@
 	ExitSettings = 2 // the settings have errors
 )
 
-// Run starts an application and stops it gracefully on SIGTERM or SIGINT, or
-// when it asks for its own end. Further signals do not cut the stop short.
+// Run starts an application and stops it gracefully on SIGTERM, SIGINT or an
+// fx shutdown request. Further signals do not abort a graceful stop. Run returns
+// the exit code.
 func Run(app *fx.App, name string, logger hclog.Logger) int {
 	return RunTo(os.Stderr, app, name, logger)
 }
 
-// RunTo is Run with another place for the error that ends the program.
+// RunTo is like Run, but writes a fatal error to w instead of standard error.
 func RunTo(w io.Writer, app *fx.App, name string, logger hclog.Logger) int {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -47,8 +49,8 @@
 	select {
 	case s := <-signals:
 		logger.Info("stopping", "signal", s.String())
-	case asked := <-app.Wait():
-		code = asked.ExitCode
+	case shutdown := <-app.Wait():
+		code = shutdown.ExitCode
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer cancel()
@@ -73,7 +75,7 @@
 	return ExitFailed
 }
 
-// hint says what to do about common errors.
+// hint returns how to fix a common error, or the empty string.
 func hint(err error) string {
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
@@ -81,12 +83,13 @@
 	case errors.Is(err, syscall.EADDRNOTAVAIL):
 		return " (this machine does not have the address; correct it in [listen])"
 	case errors.Is(err, os.ErrPermission):
-		return " (run it as a user who may, or change the path or port)"
+		return " (run as a user with permission, or change the path or port)"
 	}
 	return ""
 }
 
-// Version returns the version of the build.
+// Version returns the module version, source revision and Go version of the
+// build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/world/program/program_test.go
+++ b/world/program/program_test.go
@@ -22,13 +22,13 @@
 	return fx.New(append(opts, quiet)...)
 }
 
-func TestABusyPortIsOneClearError(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+func TestPortInUseIsOneClearError(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	defer func() { _ = held.Close() }()
+	defer func() { _ = listener.Close() }()
 	busy := app(fx.Invoke(func(lc fx.Lifecycle) {
 		lc.Append(fx.StartHook(func() error {
-			_, err := net.Listen("tcp", held.Addr().String())
+			_, err := net.Listen("tcp", listener.Addr().String())
 			return errors.Wrap(err, "listen for callers")
 		}))
 	}))
@@ -37,19 +37,19 @@
 	must.RegexMatch(t, regexp.MustCompile(`^p: listen for callers: listen tcp 127.0.0.1:\d+: bind: address already in use \(another process listens there; choose another address in \[listen\]\)\n$`), out.String())
 }
 
-func TestAPartThatCannotBeMadeIsOneClearError(t *testing.T) {
+func TestFailedConstructorIsOneClearError(t *testing.T) {
 	broken := app(fx.Provide(func() (int, error) { return 0, errors.New("open data folder: no such disk") }), fx.Invoke(func(int) {}))
 	var out bytes.Buffer
 	must.Eq(t, program.ExitFailed, program.RunTo(&out, broken, "p", hclog.NewNullLogger()))
 	must.Eq(t, "p: open data folder: no such disk\n", out.String())
 }
 
-func TestAnAppMayEndItself(t *testing.T) {
+func TestAppCanShutItselfDown(t *testing.T) {
 	stopped := false
-	ending := app(fx.Invoke(func(lc fx.Lifecycle, ender fx.Shutdowner) {
+	application := app(fx.Invoke(func(lc fx.Lifecycle, shutdowner fx.Shutdowner) {
 		lc.Append(fx.Hook{
 			OnStart: func(context.Context) error {
-				go func() { _ = ender.Shutdown(fx.ExitCode(7)) }()
+				go func() { _ = shutdowner.Shutdown(fx.ExitCode(7)) }()
 				return nil
 			},
 			OnStop: func(context.Context) error {
@@ -58,7 +58,7 @@
 			},
 		})
 	}))
-	must.Eq(t, 7, program.RunTo(&bytes.Buffer{}, ending, "p", hclog.NewNullLogger()))
+	must.Eq(t, 7, program.RunTo(&bytes.Buffer{}, application, "p", hclog.NewNullLogger()))
 	must.True(t, stopped)
 }
 
@@ -68,23 +68,23 @@
 	}
 	var out, errOut bytes.Buffer
 	var findings finding.List
-	settled, _ := program.Flags{}.ShouldExit(&out, &errOut, &section{}, findings)
-	must.False(t, settled)
-	settled, code := program.Flags{CheckConfig: true}.ShouldExit(&out, &errOut, &section{}, findings)
-	must.True(t, settled)
+	exits, _ := program.Flags{}.ShouldExit(&out, &errOut, &section{}, findings)
+	must.False(t, exits)
+	exits, code := program.Flags{CheckConfig: true}.ShouldExit(&out, &errOut, &section{}, findings)
+	must.True(t, exits)
 	must.Eq(t, program.ExitOK, code)
-	settled, code = program.Flags{PrintConfig: true}.ShouldExit(&out, &errOut, &section{Name: "x"}, findings)
-	must.True(t, settled)
+	exits, code = program.Flags{PrintConfig: true}.ShouldExit(&out, &errOut, &section{Name: "x"}, findings)
+	must.True(t, exits)
 	must.Eq(t, program.ExitOK, code)
 	must.StrContains(t, out.String(), "# who\nname = 'x'")
 	findings.Add(finding.Error, finding.At("f", 1, 2), "wrong", "")
-	settled, code = program.Flags{}.ShouldExit(&out, &errOut, &section{}, findings)
-	must.True(t, settled)
+	exits, code = program.Flags{}.ShouldExit(&out, &errOut, &section{}, findings)
+	must.True(t, exits)
 	must.Eq(t, program.ExitSettings, code)
 	must.Eq(t, "f:1:2: error: wrong\n", errOut.String())
 }
 
-func TestVersionEndsTheProgram(t *testing.T) {
+func TestVersionFlagExits(t *testing.T) {
 	var cli struct{ program.Flags }
 	var out bytes.Buffer
 	code := -1
--- a/world/program/reload.go
+++ b/world/program/reload.go
@@ -11,13 +11,13 @@
 	"github.com/snipebeam/snipebeam/world/finding"
 )
 
-// settingsInterval is how often a settings file is looked at: it may change
-// without a signal.
+// settingsInterval is how often a settings file is checked for changes, since it
+// may change without a signal.
 const settingsInterval = 2 * time.Second
 
-// WatchSettings calls a function on SIGHUP, and now and then without one,
-// until the context ends. The function finds out whether anything changed.
-func WatchSettings(ctx context.Context, read func()) {
+// WatchSettings calls a function on SIGHUP and every settingsInterval until the
+// context is done. The function itself checks whether anything has changed.
+func WatchSettings(ctx context.Context, reload func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -30,49 +30,51 @@
 		case <-signals:
 		case <-ticker.C:
 		}
-		read()
+		reload()
 	}
 }
 
-// Reloader returns a function that reads changed settings again: nil if their
-// file has not changed, or cannot be used.
+// Reloader returns a function that loads settings whose file has changed. The
+// function returns nil if the file has not changed or its settings have errors;
+// errors are logged.
 func Reloader[T any](path string, load func(path string) (*T, finding.List), logger hclog.Logger) func() *T {
-	change := NewChangeDetector(path)
+	detector := NewChangeDetector(path)
 	return func() *T {
-		if !change.Changed() {
+		if !detector.Changed() {
 			return nil
 		}
 		next, findings := load(path)
 		if err := findings.Err(); err != nil {
-			logger.Error("the settings cannot be used, the last ones hold", "error", err)
+			logger.Error("settings have errors, previous settings stay in force", "error", err)
 			return nil
 		}
 		return next
 	}
 }
 
-// ChangeDetector tells whether a file changed since it was last asked.
+// ChangeDetector detects changes of a file by its size and modification time.
 type ChangeDetector struct {
-	path string
-	size int64
-	at   time.Time
+	path    string
+	size    int64
+	modTime time.Time
 }
 
-// NewChangeDetector returns the state of a file now.
+// NewChangeDetector returns a detector that starts from the current state of a
+// file.
 func NewChangeDetector(path string) *ChangeDetector {
-	c := &ChangeDetector{path: path}
-	c.Changed()
-	return c
+	d := &ChangeDetector{path: path}
+	d.Changed()
+	return d
 }
 
-// Changed reports whether size or time of the file are other than before. A
-// file that cannot be seen has not changed.
-func (c *ChangeDetector) Changed() bool {
-	info, err := os.Stat(c.path)
+// Changed reports whether the file has changed since the last call. A file that
+// does not exist or cannot be read counts as unchanged.
+func (d *ChangeDetector) Changed() bool {
+	info, err := os.Stat(d.path)
 	if err != nil {
 		return false
 	}
-	changed := info.Size() != c.size || !info.ModTime().Equal(c.at)
-	c.size, c.at = info.Size(), info.ModTime()
+	changed := info.Size() != d.size || !info.ModTime().Equal(d.modTime)
+	d.size, d.modTime = info.Size(), info.ModTime()
 	return changed
 }
--- a/world/program/reload_test.go
+++ b/world/program/reload_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipebeam/snipebeam/world/program"
 )
 
-func TestChangedSettingsAreReadAgainAndUnusableOnesAreNot(t *testing.T) {
+func TestReloaderReturnsOnlyChangedSettingsWithoutErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.toml")
 	write := func(text string) { must.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write("a")
--- a/world/setting/address.go
+++ b/world/setting/address.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// IsLoopback reports whether a listen address can be reached from this machine
-// only.
+// IsLoopback reports whether a listen address is reachable only from the local
+// machine.
 func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/world/setting/field.go
+++ b/world/setting/field.go
@@ -9,14 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// settingsKey is one key of a settings struct with the field that holds its value.
+// settingsKey is one key of a settings struct and the field that stores its
+// value.
 type settingsKey struct {
-	name    string // dotted
+	name    string // dotted, such as host.name
 	comment string
 	field   reflect.Value
 }
 
-// keysOf lists the keys of a pointer to a settings struct.
+// keysOf lists the keys of the settings struct that into points to.
 func keysOf(into any) []settingsKey { return appendKeys(nil, reflect.ValueOf(into).Elem(), "") }
 
 func appendKeys(all []settingsKey, section reflect.Value, prefix string) []settingsKey {
@@ -35,8 +36,8 @@
 	return all
 }
 
-func findKey(known []settingsKey, name string) (settingsKey, bool) {
-	for _, k := range known {
+func findKey(keys []settingsKey, name string) (settingsKey, bool) {
+	for _, k := range keys {
 		if k.name == name {
 			return k, true
 		}
@@ -44,21 +45,24 @@
 	return settingsKey{}, false
 }
 
-// assign stores a value that was read from TOML.
+// assign stores a value decoded from TOML. The value is encoded again and decoded
+// into the field's type, so that TOML's conversion rules apply.
 func (k settingsKey) assign(value any) error {
-	box := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: k.field.Type(), Tag: `toml:"v"`}}))
+	target := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: k.field.Type(), Tag: `toml:"v"`}}))
 	text, err := toml.Marshal(map[string]any{"v": value})
 	if err != nil {
-		return errors.Errorf("%v cannot be a value here", value)
+		return errors.Errorf("%v is not a valid value", value)
 	}
-	if err := toml.Unmarshal(text, box.Interface()); err != nil {
+	if err := toml.Unmarshal(text, target.Interface()); err != nil {
 		return errors.Errorf("%v is not %s", value, k.kind())
 	}
-	k.field.Set(box.Elem().Field(0))
+	k.field.Set(target.Elem().Field(0))
 	return nil
 }
 
-// assignText stores a value as it stands in an environment variable or flag.
+// assignText stores a value in the form used in environment variables and flags:
+// strings without quotes, lists separated by commas or spaces, other values as
+// in TOML.
 func (k settingsKey) assignText(text string) error {
 	switch k.field.Kind() {
 	case reflect.String:
@@ -77,7 +81,7 @@
 func (k settingsKey) kind() string {
 	switch k.field.Kind() {
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Slice:
@@ -94,15 +98,16 @@
 	value any
 }
 
-// leaves lists the values of a tree in order of their names. A table where a
-// key belongs, or the reverse, is a leaf of its own.
-func leaves(tree map[string]any, prefix string, known []settingsKey) []leaf {
+// leaves lists the values of a tree sorted by name. A table where a value is
+// expected, or a value where a table is expected, is listed as one leaf, which
+// Document.set then reports.
+func leaves(tree map[string]any, prefix string, keys []settingsKey) []leaf {
 	var all []leaf
 	for name, value := range tree {
 		full := prefix + name
-		_, isKey := findKey(known, full)
-		if table, ok := value.(map[string]any); ok && !isKey && isSection(known, full) {
-			all = append(all, leaves(table, full+".", known)...)
+		_, isKey := findKey(keys, full)
+		if table, ok := value.(map[string]any); ok && !isKey && isSection(keys, full) {
+			all = append(all, leaves(table, full+".", keys)...)
 			continue
 		}
 		all = append(all, leaf{name: full, value: value})
@@ -111,8 +116,8 @@
 	return all
 }
 
-func isSection(known []settingsKey, name string) bool {
-	for _, k := range known {
+func isSection(keys []settingsKey, name string) bool {
+	for _, k := range keys {
 		if strings.HasPrefix(k.name, name+".") {
 			return true
 		}
--- a/world/setting/override.go
+++ b/world/setting/override.go
@@ -8,28 +8,28 @@
 	"github.com/snipebeam/snipebeam/world/finding"
 )
 
-// Override is a value that goes before the file's.
+// Override is a value that takes precedence over the file's.
 type Override struct {
 	key    string
 	value  string
-	source string // flag or environment variable
+	source string // name of the flag or environment variable
 }
 
-// NewOverride returns an override of a dotted key; the source is named in
-// findings.
+// NewOverride returns an override of a dotted key. Findings give the source as
+// their place.
 func NewOverride(key, value, source string) Override {
 	return Override{key: key, value: value, source: source}
 }
 
-func (o Override) apply(findings *finding.List, doc *Document, known []settingsKey) {
+func (o Override) apply(findings *finding.List, doc *Document, keys []settingsKey) {
 	place := finding.At(o.source, 0, 0)
-	k, ok := findKey(known, o.key)
+	k, ok := findKey(keys, o.key)
 	if !ok {
-		findings.Add(finding.Error, place, "there is no key "+o.key, suggestion(o.key, known))
+		findings.Add(finding.Error, place, "there is no key "+o.key, suggestion(o.key, keys))
 		return
 	}
 	if err := k.assignText(o.value); err != nil {
-		findings.Add(finding.Error, place, o.key+": "+err.Error(), "it is "+k.kind()+": "+k.comment)
+		findings.Add(finding.Error, place, o.key+": "+err.Error(), "must be "+k.kind()+": "+k.comment)
 		return
 	}
 	if doc.places == nil {
@@ -38,8 +38,9 @@
 	doc.places[o.key] = place
 }
 
-// EnvVar returns the environment variable of a key: host.stopLimitSeconds
-// below the prefix SNIPEBEAM_ENTRY is SNIPEBEAM_ENTRY_HOST_STOP_LIMIT_SECONDS.
+// EnvVar returns the name of the environment variable for a key. For example,
+// host.stopLimitSeconds with the prefix SNIPEBEAM_ENTRY is
+// SNIPEBEAM_ENTRY_HOST_STOP_LIMIT_SECONDS.
 func EnvVar(prefix, key string) string {
 	var b strings.Builder
 	b.WriteString(prefix + "_")
@@ -56,8 +57,8 @@
 	return b.String()
 }
 
-// FromEnvironment returns the overrides that environment variables make to a
-// settings struct.
+// FromEnvironment returns the overrides of a settings struct given by environment
+// variables.
 func FromEnvironment(prefix string, into any, lookup func(string) (string, bool)) []Override {
 	var all []Override
 	for _, k := range keysOf(into) {
@@ -69,8 +70,8 @@
 	return all
 }
 
-// FromFlags returns the overrides of a struct of flags: each field of kind
-// *string that is set and has a tag "key" goes before that key.
+// FromFlags returns the overrides given by a struct of flags. Each field of type
+// *string that is not nil overrides the key in its "key" tag.
 func FromFlags(flags any) []Override {
 	var all []Override
 	value := reflect.ValueOf(flags)
--- a/world/setting/place.go
+++ b/world/setting/position.go
@@ -7,8 +7,8 @@
 	"github.com/snipebeam/snipebeam/world/finding"
 )
 
-// keyPlaces returns the place of each dotted key, as far as the text is TOML.
-func keyPlaces(file string, data []byte) map[string]finding.Place {
+// keyPositions returns the place of each dotted key, up to the first syntax error.
+func keyPositions(file string, data []byte) map[string]finding.Place {
 	places := map[string]finding.Place{}
 	p := unstable.Parser{}
 	p.Reset(data)
--- a/world/setting/print.go
+++ b/world/setting/print.go
@@ -7,7 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Print writes settings as a file, each key below a comment that explains it.
+// Print writes settings as a TOML file in which a comment above each key explains
+// it.
 func Print(w io.Writer, settings any) error {
 	encoder := toml.NewEncoder(w)
 	encoder.SetIndentTables(false)
--- a/world/setting/setting.go
+++ b/world/setting/setting.go
@@ -1,6 +1,6 @@
 // Package setting reads a program's TOML settings file and reports all its
 // problems together, each with file, line and column. Environment variables
-// and flags go before the file.
+// and flags take precedence over the file.
 //
 // Usage:
 //
@@ -24,21 +24,24 @@
 )
 
 const (
-	// maxSuggestionDistance is the number of edits up to which a key is suggested.
+	// maxSuggestionDistance is the largest edit distance at which a key is
+	// suggested for an unknown one.
 	maxSuggestionDistance = 4
-	// maxSyntaxFindings bounds how many unreadable lines are looked for.
+	// maxSyntaxFindings bounds the number of syntax errors reported.
 	maxSyntaxFindings = 20
-	// maxFileBytes bounds a settings file.
+	// maxFileBytes bounds the size of a settings file.
 	maxFileBytes = 1 << 20
 )
 
-// Document remembers where each key of a settings file stands.
+// Document maps the keys of a settings file to their places. The place of a key
+// set by an environment variable or flag is the name of that source.
 type Document struct {
 	file   string
 	places map[string]finding.Place
 }
 
-// Place returns where a dotted key stands, or the start of the file.
+// Place returns the place of a dotted key, or the start of the file if the key is
+// not set.
 func (d *Document) Place(key string) finding.Place {
 	if p, ok := d.places[key]; ok {
 		return p
@@ -46,15 +49,15 @@
 	return finding.At(d.file, 1, 1)
 }
 
-// Load reads a file into a struct that already holds the defaults. An empty
-// path means that there is no file.
+// Load reads a settings file into a struct that already holds the defaults. An
+// empty path means that there is no file.
 func Load(path string, into any, overrides ...Override) (*Document, finding.List) {
 	if path == "" {
 		return Parse("settings", nil, into, overrides...)
 	}
 	data, err := os.ReadFile(path)
 	if err == nil && len(data) > maxFileBytes {
-		err = fmt.Errorf("it has %d bytes, the most is %d", len(data), maxFileBytes)
+		err = fmt.Errorf("size of %d bytes exceeds the limit of %d", len(data), maxFileBytes)
 	}
 	if err != nil {
 		doc, findings := Parse(path, nil, into, overrides...)
@@ -69,19 +72,20 @@
 func Parse(file string, data []byte, into any, overrides ...Override) (*Document, finding.List) {
 	var findings finding.List
 	tree, data := decodeTree(file, data, &findings)
-	doc := &Document{file: file, places: keyPlaces(file, data)}
-	known := keysOf(into)
-	for _, leaf := range leaves(tree, "", known) {
-		doc.set(&findings, known, leaf)
+	doc := &Document{file: file, places: keyPositions(file, data)}
+	keys := keysOf(into)
+	for _, leaf := range leaves(tree, "", keys) {
+		doc.set(&findings, keys, leaf)
 	}
 	for _, o := range overrides {
-		o.apply(&findings, doc, known)
+		o.apply(&findings, doc, keys)
 	}
 	return doc, findings
 }
 
-// decodeTree reads as much of a text as is TOML. Lines that are not are reported
-// and blanked.
+// decodeTree decodes TOML. Lines with syntax errors are reported and blanked, so
+// that the rest is still checked. It returns the tree and the text that it was
+// decoded from.
 func decodeTree(file string, data []byte, findings *finding.List) (map[string]any, []byte) {
 	for range maxSyntaxFindings {
 		tree := map[string]any{}
@@ -89,13 +93,13 @@
 		if err == nil {
 			return tree, data
 		}
-		var decode *toml.DecodeError
-		if !errors.As(err, &decode) {
+		var decodeErr *toml.DecodeError
+		if !errors.As(err, &decodeErr) {
 			findings.Add(finding.Error, finding.At(file, 1, 1), err.Error(), "")
 			break
 		}
-		line, column := decode.Position()
-		findings.Add(finding.Error, finding.At(file, line, column), strings.TrimPrefix(decode.Error(), "toml: "), "")
+		line, column := decodeErr.Position()
+		findings.Add(finding.Error, finding.At(file, line, column), strings.TrimPrefix(decodeErr.Error(), "toml: "), "")
 		blanked := blank(data, line)
 		if bytes.Equal(blanked, data) {
 			break
@@ -105,32 +109,34 @@
 	return map[string]any{}, nil
 }
 
-// blank returns the text with one line made empty.
+// blank returns a copy of the text with one line emptied.
 func blank(data []byte, line int) []byte {
-	all := bytes.Split(data, []byte("\n"))
-	if line < 1 || line > len(all) {
+	lines := bytes.Split(data, []byte("\n"))
+	if line < 1 || line > len(lines) {
 		return data
 	}
-	out := append([][]byte(nil), all...)
+	out := append([][]byte(nil), lines...)
 	out[line-1] = nil
 	return bytes.Join(out, []byte("\n"))
 }
 
-// set stores one value of the file.
-func (d *Document) set(findings *finding.List, known []settingsKey, l leaf) {
-	k, ok := findKey(known, l.name)
+// set stores one value from the file.
+func (d *Document) set(findings *finding.List, keys []settingsKey, l leaf) {
+	k, ok := findKey(keys, l.name)
 	if !ok {
-		findings.Add(finding.Error, d.Place(l.name), "there is no key "+l.name, suggestion(l.name, known))
+		findings.Add(finding.Error, d.Place(l.name), "there is no key "+l.name, suggestion(l.name, keys))
 		return
 	}
 	if err := k.assign(l.value); err != nil {
-		findings.Add(finding.Error, d.Place(l.name), fmt.Sprintf("%s: %s", l.name, err), "it is "+k.kind()+": "+k.comment)
+		findings.Add(finding.Error, d.Place(l.name), fmt.Sprintf("%s: %s", l.name, err), "must be "+k.kind()+": "+k.comment)
 	}
 }
 
-func suggestion(name string, known []settingsKey) string {
+// suggestion returns a hint with the key closest to the name, or the empty string
+// if none is close enough.
+func suggestion(name string, keys []settingsKey) string {
 	best, bestDistance := "", maxSuggestionDistance+1
-	for _, candidate := range known {
+	for _, candidate := range keys {
 		if distance := levenshtein.ComputeDistance(name, candidate.name); distance < bestDistance {
 			best, bestDistance = candidate.name, distance
 		}
--- a/world/setting/setting_test.go
+++ b/world/setting/setting_test.go
@@ -39,7 +39,7 @@
 	must.Eq(t, []string{"a"}, cfg.Host.Peers)
 }
 
-func TestOverridesGoBeforeTheFile(t *testing.T) {
+func TestOverridesTakePrecedenceOverFile(t *testing.T) {
 	cfg := settings{}
 	variables := map[string]string{"P_HOST_NAME": "b", "P_HOST_PEERS": "x, y", "P_HOST_COUNT": "many"}
 	overrides := setting.FromEnvironment("P", &cfg, func(name string) (string, bool) {
@@ -60,7 +60,7 @@
 	must.Eq(t, "--host-name", doc.Place("host.name").String())
 }
 
-func TestPrintedSettingsReadBackAndExplain(t *testing.T) {
+func TestPrintedSettingsAreCommentedAndParseBack(t *testing.T) {
 	cfg := settings{Host: hostSection{Name: "a", Count: 3, Share: 0.5, Peers: []string{"x"}, On: true}}
 	var out strings.Builder
 	must.NoError(t, setting.Print(&out, &cfg))
@@ -78,6 +78,6 @@
 	must.True(t, findings.HasErrors())
 }
 
-func TestVariablesAreNamedAfterKeys(t *testing.T) {
+func TestEnvVarIsNamedAfterKey(t *testing.T) {
 	must.Eq(t, "P_HOST_STOP_LIMIT_SECONDS", setting.EnvVar("P", "host.stopLimitSeconds"))
 }
--- a/world/testseed/testseed.go
+++ b/world/testseed/testseed.go
@@ -1,5 +1,6 @@
-// Package testseed gives property tests the same seed on every run, so that a
-// verdict can be repeated. A seed given on the command line wins.
+// Package testseed runs property tests with the same seed each time, so that
+// their results are reproducible. A seed given on the command line takes
+// precedence.
 //
 // Usage:
 //
@@ -11,10 +12,11 @@
 	"testing"
 )
 
-// seed is rapid's seed unless -rapid.seed is given.
+// seed is the seed of rapid unless -rapid.seed is given.
 const seed = "20261204"
 
-// Run sets rapid's seed and runs the tests of a package that uses rapid.
+// Run sets rapid's seed, turns off its fail files and runs the tests of a
+// package that uses rapid.
 func Run(m *testing.M) int {
 	set("rapid.seed", seed)
 	set("rapid.nofailfile", "true")
