--- a/bench/callstop.go
+++ b/bench/callstop.go
@@ -68,7 +68,7 @@
 	var summary caller.Summary
 	group.Go(func() {
 		summary = caller.Run(context.Background(), caller.Config{
-			Platforms: c.Platforms(), Service: "lookup", Zone: "a", Method: http.MethodPost, Path: "/x", BodyBytes: 64, Rate: stopRate, Duration: stopLoad,
+			EntryAddresses: c.Platforms(), Service: "lookup", Zone: "a", Method: http.MethodPost, Path: "/x", BodyBytes: 64, Rate: stopRate, Duration: stopLoad,
 		})
 	})
 	uploadErr := uploadThroughStop(c)
--- a/bench/control.go
+++ b/bench/control.go
@@ -24,7 +24,7 @@
 type scheduleTally struct {
 	mu       sync.Mutex
 	runs     int
-	broken   map[schedule.Promise]int
+	broken   map[schedule.Invariant]int
 	first    string
 	accepted int
 	claims   int
@@ -40,10 +40,10 @@
 	t.accepted += r.Accepted()
 	t.claims += r.Dispatched()
 	t.crashes += r.Crashes()
-	t.blanks += r.Blanks()
-	t.changes += r.Changes()
+	t.blanks += r.DiskLosses()
+	t.changes += r.MembershipChanges()
 	for _, v := range r.Violations() {
-		t.broken[v.Promise()]++
+		t.broken[v.Invariant()]++
 		if t.first == "" {
 			t.first = fmt.Sprintf("seed %d: %s", seed, v)
 		}
@@ -70,7 +70,7 @@
 // measureSchedules runs generated schedules on disks that lose what was not
 // synced and counts the promises that were broken.
 func measureSchedules(emit func(figure.Figure)) error {
-	tally := &scheduleTally{broken: map[schedule.Promise]int{}}
+	tally := &scheduleTally{broken: map[schedule.Invariant]int{}}
 	var next atomic.Uint64
 	var group sync.WaitGroup
 	for range min(scheduleWorkers, runtime.GOMAXPROCS(0)) {
@@ -86,7 +86,7 @@
 	doubled := tally.broken[schedule.OneHolder]
 	emit(figure.AtLeast("control", "schedules", float64(tally.runs), "schedules", scheduleCount).With(tally.note()))
 	emit(figure.AtMost("control", "lostAcceptedChanges", float64(lost), "changes", 0))
-	emit(figure.AtMost("control", "revertedVersions", float64(tally.broken[schedule.NoReversal]), "versions", 0))
+	emit(figure.AtMost("control", "revertedVersions", float64(tally.broken[schedule.MonotonicReads]), "versions", 0))
 	emit(figure.AtMost("control", "doubleClaims", float64(doubled), "claims", 0))
 	emit(figure.AtMost("control", "brokenPromises", float64(tally.all()), "violations", 0).With("all promises of the schedules, those above among them"))
 	return nil
--- a/bench/demo/judge.go
+++ b/bench/demo/judge.go
@@ -17,7 +17,7 @@
 func (d *demo) judge(ctx context.Context, summaries []caller.Summary) error {
 	wrong := append([]string(nil), d.events.failed...)
 	for n, s := range summaries {
-		if bad := s.Sent - s.Outcomes["answer"] + s.Wrong; bad > 0 || s.Sent == 0 {
+		if bad := s.Sent - s.Outcomes["answer"] + s.WrongResponses; bad > 0 || s.Sent == 0 {
 			wrong = append(wrong, workloads[n].service+": "+s.String())
 		}
 	}
--- a/bench/demo/workload.go
+++ b/bench/demo/workload.go
@@ -38,8 +38,8 @@
 	for n, w := range workloads {
 		group.Go(func() {
 			summaries[n] = caller.Run(ctx, caller.Config{
-				Platforms: d.cluster.Platforms(), Service: w.service, Zone: zones[n%len(zones)], Method: w.method,
-				Path: w.path, Rate: w.rate, Duration: d.cli.Duration, BodyBytes: w.body, Once: w.once,
+				EntryAddresses: d.cluster.Platforms(), Service: w.service, Zone: zones[n%len(zones)], Method: w.method,
+				Path: w.path, Rate: w.rate, Duration: d.cli.Duration, BodyBytes: w.body, IdempotencyHeader: w.once,
 			})
 		})
 	}
--- a/bench/document/document_test.go
+++ b/bench/document/document_test.go
@@ -45,7 +45,7 @@
 
 // startInstance runs a stand-in that announces itself, and returns its address.
 func startInstance(t *testing.T, service, platform string) string {
-	server := upstream.New(upstream.Config{ID: service + "-1", Service: service, Slots: 3, Work: time.Millisecond, OnceHeader: "Idempotency-Key"})
+	server := upstream.New(upstream.Config{ID: service + "-1", Service: service, Slots: 3, ServiceTime: time.Millisecond, IdempotencyHeader: "Idempotency-Key"})
 	web := httptest.NewServer(server)
 	t.Cleanup(web.Close)
 	body := fmt.Sprintf(`{"service":%q,"address":%q,"incarnation":1}`, service, web.Listener.Addr().String())
--- a/bench/route/virtual/probes.go
+++ b/bench/route/virtual/probes.go
@@ -22,7 +22,7 @@
 		return
 	}
 	terms := contract.NewService(service, contract.WithProbeBudget(f.scenario.ProbeBudget))
-	settings := probe.Settings{Hosts: f.scenario.Hosts, Window: probeWindow, Most: probeMost, Stale: probeStale}
+	settings := probe.Config{Hosts: f.scenario.Hosts, Window: probeWindow, MaxDuration: probeMost, StaleAfter: probeStale}
 	for _, h := range f.hosts {
 		planner := probe.NewPlanner(settings, h.views, func(string) *contract.Service { return terms }, epoch-hostsRunFor)
 		var tick func()
--- a/bench/scrape.go
+++ b/bench/scrape.go
@@ -47,8 +47,8 @@
 	for s := range size.services {
 		book.Track(serviceName(s), time.Now())
 	}
-	return prometheus.New(prometheus.Parts{
-		Table: rules.NewTable(), Views: viewsOf(size), Book: book,
+	return prometheus.New(prometheus.Config{
+		Table: rules.NewTable(), Views: viewsOf(size), Backlog: book,
 		Decisions: decision.NewLog(hclog.NewNullLogger()), State: func() string { return "ready" },
 	})
 }
--- a/control/command/command.go
+++ b/control/command/command.go
@@ -18,7 +18,7 @@
 
 // openFolder opens an existing data folder.
 func openFolder(path string) (*disk.Contents, error) {
-	files, err := disk.NewFiles(path)
+	files, err := disk.NewOSFolder(path)
 	if err != nil {
 		return nil, err
 	}
@@ -30,7 +30,7 @@
 // the term of the last one. Which of the last entries were committed cannot be
 // told from one folder.
 func replay(c *disk.Contents) (*state.Machine, *wire.LogSnapshot, error) {
-	saved := c.Saved()
+	saved := c.PersistentState()
 	machine := state.New()
 	last := &wire.LogSnapshot{Index: saved.Snapshot.GetIndex(), Term: saved.Snapshot.GetTerm()}
 	if data := saved.Snapshot.GetState(); len(data) > 0 {
--- a/control/command/command_test.go
+++ b/control/command/command_test.go
@@ -18,7 +18,7 @@
 func folderWithOneChange(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "data")
-	files, err := disk.NewFiles(path)
+	files, err := disk.NewOSFolder(path)
 	must.NoError(t, err)
 	store, err := disk.Create(files, &wire.ReplicaIdentity{Identity: "old", Group: "old group", Name: "control-1"})
 	must.NoError(t, err)
@@ -50,7 +50,7 @@
 	restore := &command.Restore{File: file, Data: data, Name: "control-1", Address: "127.0.0.1:7100"}
 	must.NoError(t, restore.Run(&bytes.Buffer{}))
 	must.Error(t, restore.Run(&bytes.Buffer{}))
-	files, err := disk.NewFiles(data)
+	files, err := disk.NewOSFolder(data)
 	must.NoError(t, err)
 	store, saved, err := disk.Open(files)
 	must.NoError(t, err)
--- a/control/command/inspect.go
+++ b/control/command/inspect.go
@@ -30,7 +30,7 @@
 }
 
 func printReplica(w io.Writer, c *disk.Contents, last *wire.LogSnapshot) {
-	saved := c.Saved()
+	saved := c.PersistentState()
 	fmt.Fprintf(w, "name           %s\n", c.Identity().GetName())
 	fmt.Fprintf(w, "identity       %s\n", c.Identity().GetIdentity())
 	fmt.Fprintf(w, "group          %s\n", orNone(c.Identity().GetGroup()))
--- a/control/command/restore.go
+++ b/control/command/restore.go
@@ -34,7 +34,7 @@
 	identity := &wire.ReplicaIdentity{Identity: uuid.NewString(), Group: uuid.NewString(), Name: c.Name}
 	self := &wire.Member{Name: c.Name, Address: c.Address, Role: quorum.Voter, Identity: identity.GetIdentity()}
 	snapshot.Members = &wire.Members{Members: []*wire.Member{self}}
-	folder, err := disk.NewFiles(c.Data)
+	folder, err := disk.NewOSFolder(c.Data)
 	if err != nil {
 		return err
 	}
--- a/control/disk/disk_test.go
+++ b/control/disk/disk_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestFolderIsLocked(t *testing.T) {
-	folder, err := disk.NewFiles(t.TempDir())
+	folder, err := disk.NewOSFolder(t.TempDir())
 	must.NoError(t, err)
 	s := newStore(t, folder)
 	_, _, err = disk.Open(folder)
@@ -106,7 +106,7 @@
 	before := len(segments(t, folder))
 	must.Greater(t, 3, before)
 	must.NoError(t, s.SaveSnapshot(&wire.LogSnapshot{Index: 50, Term: 1, State: []byte("state")}))
-	must.NoError(t, s.Truncate(50))
+	must.NoError(t, s.Compact(50))
 	must.Less(t, before, len(segments(t, folder)))
 	must.NoError(t, s.Close())
 	_, saved := reopen(t, folder)
@@ -119,7 +119,7 @@
 	folder := memory.New()
 	s := newStore(t, folder)
 	must.NoError(t, s.Write(nil, entries(1, 1, 2, 3, 4, 5, 6, 7, 8)))
-	must.NoError(t, s.Install(&wire.LogSnapshot{Index: 5, Term: 2}))
+	must.NoError(t, s.InstallSnapshot(&wire.LogSnapshot{Index: 5, Term: 2}))
 	must.NoError(t, s.Write(nil, entries(2, 6)))
 	must.NoError(t, s.Close())
 	_, saved := reopen(t, folder)
@@ -156,9 +156,9 @@
 		must.NoError(t, s.Close())
 		names := segments(t, folder)
 		file := names[rapid.IntRange(0, len(names)-2).Draw(t, "segment")]
-		folder.Damage(file, rapid.IntRange(0, folder.Size(file)-1).Draw(t, "offset"))
+		folder.Corrupt(file, rapid.IntRange(0, folder.Size(file)-1).Draw(t, "offset"))
 		_, _, err := disk.Open(folder)
-		var damage *disk.Damage
+		var damage *disk.CorruptionError
 		must.True(t, errors.As(err, &damage), must.Sprintf("%v", err))
 		must.Eq(t, file, damage.File())
 	})
@@ -172,9 +172,9 @@
 	must.NoError(t, s.Write(nil, entries(1, 2)))
 	must.NoError(t, s.Write(nil, entries(1, 3)))
 	must.NoError(t, s.Close())
-	folder.Damage(segments(t, folder)[0], before+20)
+	folder.Corrupt(segments(t, folder)[0], before+20)
 	_, _, err := disk.Open(folder)
-	var damage *disk.Damage
+	var damage *disk.CorruptionError
 	must.True(t, errors.As(err, &damage))
 	must.Eq(t, before, damage.Offset())
 }
@@ -200,7 +200,7 @@
 	s := newStore(t, folder)
 	must.NoError(t, s.SaveSnapshot(&wire.LogSnapshot{Index: 7, State: []byte("state")}))
 	must.NoError(t, s.Close())
-	folder.Damage("snapshot-0000000000000007", 25)
+	folder.Corrupt("snapshot-0000000000000007", 25)
 	_, _, err := disk.Open(folder)
 	must.ErrorContains(t, err, "snapshot-0000000000000007")
 }
@@ -209,7 +209,7 @@
 	causes := map[string]func(*memory.Folder){
 		"sync":  func(f *memory.Folder) { f.FailSyncs(errors.New("input/output error")) },
 		"write": func(f *memory.Folder) { f.FailWrites(errors.New("input/output error")) },
-		"full":  func(f *memory.Folder) { f.SetRoom(10) },
+		"full":  func(f *memory.Folder) { f.SetFreeSpace(10) },
 	}
 	for name, fail := range causes {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +220,7 @@
 			must.Error(t, s.Write(nil, entries(1, 2)))
 			folder.FailSyncs(nil)
 			folder.FailWrites(nil)
-			folder.SetRoom(-1)
+			folder.SetFreeSpace(-1)
 			must.ErrorIs(t, s.Write(nil, entries(1, 2)), disk.ErrFailed)
 			must.ErrorIs(t, s.SaveSnapshot(&wire.LogSnapshot{Index: 1}), disk.ErrFailed)
 			must.Error(t, s.Err())
@@ -250,12 +250,12 @@
 func TestCreationSurvivesACrash(t *testing.T) {
 	for kept := range 200 {
 		folder := memory.New()
-		folder.SetRoom(kept)
+		folder.SetFreeSpace(kept)
 		s, err := disk.Create(folder, &wire.ReplicaIdentity{Identity: "one"})
 		if err == nil {
 			must.NoError(t, s.Close())
 		}
-		folder.SetRoom(-1)
+		folder.SetFreeSpace(-1)
 		folder.Crash(func(int) int { return 0 })
 		_, _, opened := disk.Open(folder)
 		if err == nil {
--- a/control/disk/folder.go
+++ b/control/disk/folder.go
@@ -10,23 +10,23 @@
 	"github.com/pkg/errors"
 )
 
-// Files is a data folder of the operating system.
-type Files struct {
+// OSFolder is a data folder of the operating system.
+type OSFolder struct {
 	path string
 }
 
-// NewFiles returns the folder at a path, which is made if it is missing.
-func NewFiles(path string) (*Files, error) {
+// NewOSFolder returns the folder at a path, which is made if it is missing.
+func NewOSFolder(path string) (*OSFolder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, errors.Wrap(err, "make data folder")
 	}
-	return &Files{path: path}, nil
+	return &OSFolder{path: path}, nil
 }
 
-func (f *Files) at(name string) string { return filepath.Join(f.path, name) }
+func (f *OSFolder) at(name string) string { return filepath.Join(f.path, name) }
 
 // Lock takes an advisory lock that ends with the process.
-func (f *Files) Lock() (io.Closer, error) {
+func (f *OSFolder) Lock() (io.Closer, error) {
 	file, err := os.OpenFile(f.at(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, errors.Wrap(err, "open lock")
@@ -39,23 +39,23 @@
 }
 
 // Open opens a file to read it from its start and to write at its end.
-func (f *Files) Open(name string) (File, error) {
+func (f *OSFolder) Open(name string) (File, error) {
 	return os.OpenFile(f.at(name), os.O_RDWR|os.O_APPEND, 0o600)
 }
 
 // Create makes an empty file.
-func (f *Files) Create(name string) (File, error) {
+func (f *OSFolder) Create(name string) (File, error) {
 	return os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
 // Rename renames a file over another.
-func (f *Files) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+func (f *OSFolder) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
 
 // Remove removes a file.
-func (f *Files) Remove(name string) error { return os.Remove(f.at(name)) }
+func (f *OSFolder) Remove(name string) error { return os.Remove(f.at(name)) }
 
 // Names lists the files in order.
-func (f *Files) Names() ([]string, error) {
+func (f *OSFolder) Names() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 }
 
 // Sync syncs the folder itself.
-func (f *Files) Sync() error {
+func (f *OSFolder) Sync() error {
 	dir, err := os.Open(f.path)
 	if err != nil {
 		return err
--- a/control/disk/load.go
+++ b/control/disk/load.go
@@ -7,23 +7,23 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Damage is a place in a file that cannot be read and is no torn tail.
-type Damage struct {
+// CorruptionError is a place in a file that cannot be read and is no torn tail.
+type CorruptionError struct {
 	file   string
 	offset int
 	reason string
 }
 
 // Error names file and offset.
-func (d *Damage) Error() string {
+func (d *CorruptionError) Error() string {
 	return errors.Errorf("file %s is damaged at offset %d: %s", d.file, d.offset, d.reason).Error()
 }
 
 // File returns the damaged file's name.
-func (d *Damage) File() string { return d.file }
+func (d *CorruptionError) File() string { return d.file }
 
 // Offset returns the offset of the damage.
-func (d *Damage) Offset() int { return d.offset }
+func (d *CorruptionError) Offset() int { return d.offset }
 
 // replay collects what the records of the log say.
 type replay struct {
@@ -74,7 +74,7 @@
 	}
 	r, ok := parseRecord(data)
 	if !ok {
-		return &Damage{file: identityName, reason: "the checksum does not fit"}
+		return &CorruptionError{file: identityName, reason: "the checksum does not fit"}
 	}
 	identity := &wire.ReplicaIdentity{}
 	if err := proto.Unmarshal(r.payload, identity); err != nil {
@@ -111,7 +111,7 @@
 func (s *Store) loadSegment(r *replay, n int, repair bool) error {
 	one := &s.segments[n]
 	if one.first != s.sequence+1 {
-		return &Damage{file: one.name, reason: errors.Errorf("record %d should come first: a segment is missing", s.sequence+1).Error()}
+		return &CorruptionError{file: one.name, reason: errors.Errorf("record %d should come first: a segment is missing", s.sequence+1).Error()}
 	}
 	data, err := s.readFile(one.name)
 	if err != nil {
@@ -125,7 +125,7 @@
 			break
 		}
 		if err := r.take(rec); err != nil {
-			return &Damage{file: one.name, offset: offset, reason: err.Error()}
+			return &CorruptionError{file: one.name, offset: offset, reason: err.Error()}
 		}
 		s.sequence = rec.sequence
 		offset += rec.size()
@@ -136,10 +136,10 @@
 		return nil
 	}
 	if at, found := laterRecord(data, offset, s.sequence); found {
-		return &Damage{file: one.name, offset: offset, reason: errors.Errorf("a whole record follows at offset %d", at).Error()}
+		return &CorruptionError{file: one.name, offset: offset, reason: errors.Errorf("a whole record follows at offset %d", at).Error()}
 	}
 	if !last {
-		return &Damage{file: one.name, offset: offset, reason: "segments follow"}
+		return &CorruptionError{file: one.name, offset: offset, reason: "segments follow"}
 	}
 	return s.cutTail(one.name, int64(offset), repair)
 }
--- a/control/disk/memory/memory.go
+++ b/control/disk/memory/memory.go
@@ -66,11 +66,11 @@
 // FailSyncs makes each further sync fail.
 func (f *Folder) FailSyncs(err error) { f.mu.Lock(); f.syncErr = err; f.mu.Unlock() }
 
-// SetRoom sets how many bytes can still be written.
-func (f *Folder) SetRoom(bytes int) { f.mu.Lock(); f.room = bytes; f.mu.Unlock() }
+// SetFreeSpace sets how many bytes can still be written.
+func (f *Folder) SetFreeSpace(bytes int) { f.mu.Lock(); f.room = bytes; f.mu.Unlock() }
 
-// Damage flips the bits of one byte of a file.
-func (f *Folder) Damage(name string, offset int) {
+// Corrupt flips the bits of one byte of a file.
+func (f *Folder) Corrupt(name string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.names[name]
--- a/control/disk/read.go
+++ b/control/disk/read.go
@@ -16,8 +16,8 @@
 // Identity returns the replica's identity.
 func (c *Contents) Identity() *wire.ReplicaIdentity { return c.identity }
 
-// Saved returns vote, snapshot and entries.
-func (c *Contents) Saved() quorum.PersistentState { return c.saved }
+// PersistentState returns vote, snapshot and entries.
+func (c *Contents) PersistentState() quorum.PersistentState { return c.saved }
 
 // Segments returns the names of the log's files, oldest first.
 func (c *Contents) Segments() []string { return c.segments }
--- a/control/disk/write.go
+++ b/control/disk/write.go
@@ -42,8 +42,8 @@
 	return s.rotate()
 }
 
-// Install replaces log and state by a snapshot of the leader.
-func (s *Store) Install(snapshot *wire.LogSnapshot) error {
+// InstallSnapshot replaces log and state by a snapshot of the leader.
+func (s *Store) InstallSnapshot(snapshot *wire.LogSnapshot) error {
 	if err := s.SaveSnapshot(snapshot); err != nil {
 		return err
 	}
@@ -60,8 +60,8 @@
 	return s.append(record{kind: kindReset, payload: payload})
 }
 
-// Truncate removes segments whose entries a durable snapshot covers.
-func (s *Store) Truncate(snapshotIndex uint64) error {
+// Compact removes segments whose entries a durable snapshot covers.
+func (s *Store) Compact(snapshotIndex uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed != nil {
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -24,7 +24,7 @@
 }
 
 func newReplica(cfg *settings.Settings) (*replica, error) {
-	folder, err := disk.NewFiles(cfg.Data.Folder)
+	folder, err := disk.NewOSFolder(cfg.Data.Folder)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 		return seedHosts(cfg)
 	}
 	var hosts []peer.Host
-	for _, one := range cfg.Quorum.Initial() {
+	for _, one := range cfg.Quorum.InitialHosts() {
 		hosts = append(hosts, peer.Host{Name: one[0], Address: one[1]})
 	}
 	if len(hosts) == 0 {
--- a/control/peer/peer.go
+++ b/control/peer/peer.go
@@ -245,7 +245,7 @@
 		if err := n.store.Write(out.Vote(), nil); err != nil {
 			return err
 		}
-		if err := n.store.Install(s); err != nil {
+		if err := n.store.InstallSnapshot(s); err != nil {
 			return err
 		}
 		return n.store.Write(nil, out.Entries())
--- a/control/peer/snapshot.go
+++ b/control/peer/snapshot.go
@@ -40,7 +40,7 @@
 		err = n.store.SaveSnapshot(&wire.LogSnapshot{Index: meta.GetIndex(), Term: meta.GetTerm(), Members: meta.GetMembers(), State: data})
 	}
 	if err == nil {
-		err = n.store.Truncate(meta.GetIndex())
+		err = n.store.Compact(meta.GetIndex())
 	}
 	n.do(n.runCtx, func() {
 		n.snapshots.running = false
--- a/control/schedule/attempt.go
+++ b/control/schedule/attempt.go
@@ -24,8 +24,8 @@
 // End returns when the answer came.
 func (o Operation) End() int { return o.end }
 
-// Certain reports whether an answer came.
-func (o Operation) Certain() bool { return o.certain }
+// Completed reports whether an answer came.
+func (o Operation) Completed() bool { return o.certain }
 
 // Command returns the request, nil for a confirmed read.
 func (o Operation) Command() *wire.Command { return o.cmd }
@@ -51,7 +51,7 @@
 }
 
 // start proposes at a host that believes it leads.
-func (a *attempt) start(w *World, h *host) {
+func (a *attempt) start(w *Simulation, h *host) {
 	data, err := proto.Marshal(a.cmd)
 	if err != nil {
 		panic("schedule: " + err.Error())
@@ -66,7 +66,7 @@
 	h.flush()
 }
 
-func (a *attempt) uncertain(w *World) {
+func (a *attempt) uncertain(w *Simulation) {
 	a.running = false
 	w.record(Operation{start: a.started, cmd: a.cmd})
 	if a.lost != nil {
@@ -74,14 +74,14 @@
 	}
 }
 
-func (a *attempt) notTaken(*World) {
+func (a *attempt) notTaken(*Simulation) {
 	a.running = false
 	if a.lost != nil {
 		a.lost()
 	}
 }
 
-func (a *attempt) done(w *World, result *wire.Result) {
+func (a *attempt) done(w *Simulation, result *wire.Result) {
 	a.running, a.finished, a.result = false, true, result
 	w.record(Operation{start: a.started, end: w.now, certain: true, cmd: a.cmd, result: result})
 	if a.then != nil {
@@ -89,15 +89,15 @@
 	}
 }
 
-func (a *attempt) read(w *World, version uint64) {
+func (a *attempt) read(w *Simulation, version uint64) {
 	w.record(Operation{start: a.started, end: w.now, certain: true, version: version})
 	if version < a.floor {
-		w.violate(NoReversal, fmt.Sprintf("a confirmed read gave version %d, version %d was accepted before", version, a.floor))
+		w.violate(MonotonicReads, fmt.Sprintf("a confirmed read gave version %d, version %d was accepted before", version, a.floor))
 	}
 	w.clients.noteVersion(version)
 }
 
-func (w *World) record(op Operation) {
+func (w *Simulation) record(op Operation) {
 	w.report.operations = append(w.report.operations, op)
 	w.now++
 }
--- a/control/schedule/clients.go
+++ b/control/schedule/clients.go
@@ -24,7 +24,7 @@
 func (c *clients) noteVersion(n uint64) { c.known = max(c.known, n) }
 
 // act does one thing that a client may do.
-func (c *clients) act(w *World) {
+func (c *clients) act(w *Simulation) {
 	h := w.anyHost()
 	if leader := w.leader(); leader != nil && w.source.Int(3) > 0 {
 		h = leader
@@ -46,7 +46,7 @@
 	}
 }
 
-func (c *clients) submit(w *World, h *host) {
+func (c *clients) submit(w *Simulation, h *host) {
 	c.next++
 	req := &wire.SubmitRequest{
 		SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), Author: "operator",
@@ -56,22 +56,22 @@
 	c.send(w, h, req)
 }
 
-func (c *clients) submitAgain(w *World, h *host) {
+func (c *clients) submitAgain(w *Simulation, h *host) {
 	if len(c.submissions) > 0 {
 		c.send(w, h, c.submissions[w.source.Int(len(c.submissions))])
 	}
 }
 
-func (c *clients) send(w *World, h *host, req *wire.SubmitRequest) {
+func (c *clients) send(w *Simulation, h *host, req *wire.SubmitRequest) {
 	a := &attempt{cmd: &wire.Command{At: w.wallClock(), Clock: int64(w.now), Body: &wire.Command_Submit{Submit: req}}}
 	a.then = func(result *wire.Result) { c.submitted(w, req, result.GetSubmit()) }
 	a.start(w, h)
 }
 
 // wallClock jumps far ahead and back.
-func (w *World) wallClock() int64 { return int64(w.now) + int64(w.source.Int(3)-1)*(1<<50) }
+func (w *Simulation) wallClock() int64 { return int64(w.now) + int64(w.source.Int(3)-1)*(1<<50) }
 
-func (c *clients) submitted(w *World, req *wire.SubmitRequest, got *wire.SubmitResponse) {
+func (c *clients) submitted(w *Simulation, req *wire.SubmitRequest, got *wire.SubmitResponse) {
 	c.noteVersion(got.GetVersion().GetNumber())
 	if first, ok := c.first[req.GetSubmissionId()]; ok {
 		if first.GetAccepted() != got.GetAccepted() || first.GetVersion().GetNumber() != got.GetVersion().GetNumber() {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *clients) read(w *World, h *host) {
+func (c *clients) read(w *Simulation, h *host) {
 	c.nextRead++
 	a := &attempt{started: w.now, floor: c.known}
 	h.reads[c.nextRead] = a
@@ -94,7 +94,7 @@
 }
 
 // checkAccepted looks for every accepted submission on a host.
-func (c *clients) checkAccepted(w *World, h *host) {
+func (c *clients) checkAccepted(w *Simulation, h *host) {
 	for id, response := range c.first {
 		if !response.GetAccepted() {
 			continue
--- a/control/schedule/direct.go
+++ b/control/schedule/direct.go
@@ -6,11 +6,11 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Settle lets time pass until all voters hold the same log.
-func (w *World) Settle() bool { return w.RunUntil(w.settled) }
+// Converge lets time pass until all voters hold the same log.
+func (w *Simulation) Converge() bool { return w.RunUntil(w.settled) }
 
 // Submit submits a rules file and waits until it is accepted.
-func (w *World) Submit() bool {
+func (w *Simulation) Submit() bool {
 	c := w.clients
 	c.next++
 	req := &wire.SubmitRequest{SubmissionId: fmt.Sprintf("submission-%d", c.next), Text: fmt.Sprintf("text %d", c.next), BaseVersion: c.known}
@@ -22,7 +22,7 @@
 }
 
 // Claim claims a key for a holder that dispatches.
-func (w *World) Claim(key string) bool {
+func (w *Simulation) Claim(key string) bool {
 	one := w.clients.newHolder(key)
 	a := &attempt{cmd: one.claimCommand(w)}
 	w.propose(a)
@@ -34,5 +34,5 @@
 	return true
 }
 
-// Judge checks what must hold once the group has healed.
-func (w *World) Judge() { w.judge() }
+// CheckHealed checks what must hold once the group has healed.
+func (w *Simulation) CheckHealed() { w.judge() }
--- a/control/schedule/heal.go
+++ b/control/schedule/heal.go
@@ -15,7 +15,7 @@
 
 // Heal ends all faults, starts every host that has a disk, and runs until all
 // of them hold the same log, or for a bounded time.
-func (w *World) Heal() {
+func (w *Simulation) Heal() {
 	w.faults = false
 	w.blocked = map[[2]string]bool{}
 	for _, h := range w.hosts {
@@ -25,12 +25,12 @@
 		}
 	}
 	if !w.RunUntil(func() bool { return w.settled() }) {
-		w.violate(Recovers, "the healed group does not settle: "+w.describe())
+		w.violate(Liveness, "the healed group does not settle: "+w.describe())
 	}
 }
 
 // RunUntil lets time pass without further faults until a condition holds.
-func (w *World) RunUntil(condition func() bool) bool {
+func (w *Simulation) RunUntil(condition func() bool) bool {
 	for range healRounds {
 		w.now++
 		for _, h := range w.hosts {
@@ -48,7 +48,7 @@
 
 // Repair adds, promotes and removes replicas until every host with a disk is a
 // voter.
-func (w *World) Repair() bool {
+func (w *Simulation) Repair() bool {
 	return w.RunUntil(func() bool {
 		if leader := w.leader(); leader != nil && !w.Repaired() {
 			w.repairStep(leader)
@@ -59,7 +59,7 @@
 }
 
 // settled reports whether one leader is followed by all voters with equal logs.
-func (w *World) settled() bool {
+func (w *Simulation) settled() bool {
 	leader := w.leader()
 	if leader == nil || leader.replica.CommitIndex() != leader.replica.LastIndex() {
 		return false
@@ -75,7 +75,7 @@
 	return true
 }
 
-func (w *World) describe() string {
+func (w *Simulation) describe() string {
 	text := ""
 	for _, h := range w.hosts {
 		if h.up {
@@ -88,13 +88,13 @@
 }
 
 // judge checks what must hold once the group has healed.
-func (w *World) judge() {
+func (w *Simulation) judge() {
 	if len(w.report.violations) > 0 {
 		return
 	}
 	w.clients.finish(w)
 	if !w.RunUntil(w.settled) {
-		w.violate(Recovers, "the group does not settle after the last requests: "+w.describe())
+		w.violate(Liveness, "the group does not settle after the last requests: "+w.describe())
 		return
 	}
 	w.report.elections = len(w.leaders)
@@ -113,7 +113,7 @@
 }
 
 // propose proposes at the leader and runs until the outcome is known.
-func (w *World) propose(a *attempt) {
+func (w *Simulation) propose(a *attempt) {
 	w.RunUntil(func() bool {
 		if a.finished {
 			return true
@@ -124,6 +124,6 @@
 		return a.finished
 	})
 	if !a.finished {
-		w.violate(Recovers, "a request of the healed group stays without answer")
+		w.violate(Liveness, "a request of the healed group stays without answer")
 	}
 }
--- a/control/schedule/holders.go
+++ b/control/schedule/holders.go
@@ -31,7 +31,7 @@
 	return &wire.ClaimKey{Service: "checkout", Caller: "studio", IdempotencyKey: h.key}
 }
 
-func (h *holder) claimCommand(w *World) *wire.Command {
+func (h *holder) claimCommand(w *Simulation) *wire.Command {
 	req := &wire.ClaimRequest{Key: h.wireKey(), ClaimId: h.claimID, Holder: h.claimID}
 	return &wire.Command{At: w.wallClock(), Clock: int64(w.now), Body: &wire.Command_Claim{Claim: req}}
 }
@@ -48,7 +48,7 @@
 }
 
 // claim starts an attempt; sometimes the same claim is sent twice.
-func (c *clients) claim(w *World, at *host) {
+func (c *clients) claim(w *Simulation, at *host) {
 	one := c.newHolder(fmt.Sprintf("key-%d", w.source.Int(claimKeys)))
 	c.sendClaim(w, at, one)
 	if w.source.Int(4) == 0 && at.up {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (c *clients) sendClaim(w *World, at *host, one *holder) {
+func (c *clients) sendClaim(w *Simulation, at *host, one *holder) {
 	a := &attempt{cmd: one.claimCommand(w)}
 	a.then = func(result *wire.Result) { c.claimed(w, one, result.GetClaim()) }
 	a.lost = func() {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *clients) claimed(w *World, one *holder, got *wire.ClaimResponse) {
+func (c *clients) claimed(w *Simulation, one *holder, got *wire.ClaimResponse) {
 	if one.state != claiming {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // settle completes or releases an attempt, or sends its claim again late.
-func (c *clients) settle(w *World, at *host) {
+func (c *clients) settle(w *Simulation, at *host) {
 	if len(c.holders) == 0 {
 		return
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (c *clients) complete(w *World, at *host, one *holder) {
+func (c *clients) complete(w *Simulation, at *host, one *holder) {
 	req := &wire.CompleteRequest{Key: one.wireKey(), ClaimId: one.claimID, Answer: &wire.StoredAnswer{Status: 200}}
 	a := &attempt{cmd: &wire.Command{Body: &wire.Command_Complete{Complete: req}}}
 	a.then = func(result *wire.Result) {
@@ -118,7 +118,7 @@
 	a.start(w, at)
 }
 
-func (c *clients) release(w *World, at *host, one *holder) {
+func (c *clients) release(w *Simulation, at *host, one *holder) {
 	a := &attempt{cmd: one.releaseCommand()}
 	a.then = func(result *wire.Result) {
 		if result.GetRelease().GetReleased() {
@@ -130,7 +130,7 @@
 
 // finish releases every attempt that was given up, then checks that each key
 // that nobody dispatched can still be claimed.
-func (c *clients) finish(w *World) {
+func (c *clients) finish(w *Simulation) {
 	for _, one := range c.holders {
 		if one.state == givingUp || one.state == claiming {
 			w.propose(&attempt{cmd: one.releaseCommand()})
@@ -147,7 +147,7 @@
 			w.violate(OneHolder, key+" is granted again after it was dispatched")
 		}
 		if !granted && !ran {
-			w.violate(NoOrphan, fmt.Sprintf("%s is held by %s, which gave up", key, a.result.GetClaim().GetHolder()))
+			w.violate(NoOrphanClaim, fmt.Sprintf("%s is held by %s, which gave up", key, a.result.GetClaim().GetHolder()))
 		}
 	}
 }
--- a/control/schedule/host.go
+++ b/control/schedule/host.go
@@ -17,7 +17,7 @@
 
 // host is one data folder with the process that uses it.
 type host struct {
-	world   *World
+	world   *Simulation
 	name    string
 	id      string
 	folder  *memory.Folder
@@ -32,7 +32,7 @@
 
 var errPowerFailure = errors.New("power failure")
 
-func (w *World) newHost(name string) *host {
+func (w *Simulation) newHost(name string) *host {
 	h := &host{world: w, name: name, id: fmt.Sprintf("%s/%d", name, len(w.hosts)), folder: memory.New()}
 	store, err := disk.Create(h.folder, &wire.ReplicaIdentity{Identity: h.id, Name: name, Group: "group"}, disk.WithSegmentBytes(segmentBytes))
 	if err != nil {
@@ -58,14 +58,14 @@
 func (h *host) start() {
 	store, saved, err := disk.Open(h.folder, disk.WithSegmentBytes(segmentBytes))
 	if err != nil {
-		h.world.violate(DiskReads, h.id+": "+err.Error())
+		h.world.violate(CrashConsistency, h.id+": "+err.Error())
 		h.gone = true
 		return
 	}
 	h.store, h.machine = store, state.New()
 	if s := saved.Snapshot.GetState(); len(s) > 0 {
 		if err := h.machine.Restore(s); err != nil {
-			h.world.violate(DiskReads, h.id+": "+err.Error())
+			h.world.violate(CrashConsistency, h.id+": "+err.Error())
 		}
 	}
 	h.replica = quorum.New(h.id, saved, quorum.WithElectionTicks(electionTicks), quorum.WithHeartbeatTicks(heartbeatTicks),
@@ -138,7 +138,7 @@
 	if err := h.store.Write(out.Vote(), nil); err != nil {
 		return err
 	}
-	if err := h.store.Install(s); err != nil {
+	if err := h.store.InstallSnapshot(s); err != nil {
 		return err
 	}
 	return h.store.Write(nil, out.Entries())
@@ -147,7 +147,7 @@
 func (h *host) apply(out *quorum.Output) {
 	if s := out.Snapshot(); s != nil {
 		if err := h.machine.Restore(s.GetState()); err != nil {
-			h.world.violate(DiskReads, err.Error())
+			h.world.violate(CrashConsistency, err.Error())
 		}
 		h.giveUp()
 	}
@@ -234,7 +234,7 @@
 		h.crash()
 		return
 	}
-	if err := h.store.Truncate(s.GetIndex()); err != nil {
+	if err := h.store.Compact(s.GetIndex()); err != nil {
 		h.crash()
 		return
 	}
--- a/control/schedule/linear_test.go
+++ b/control/schedule/linear_test.go
@@ -41,7 +41,7 @@
 	}
 	if _, rest, ok := strings.Cut(m.decided, req.GetSubmissionId()+"="); ok {
 		first, _, _ := strings.Cut(rest, ";")
-		return !op.Certain() || first == outcome(op.Result().GetSubmit()), m
+		return !op.Completed() || first == outcome(op.Result().GetSubmit()), m
 	}
 	next := m
 	want := &wire.SubmitResponse{Version: &wire.Version{Number: m.version}}
@@ -50,7 +50,7 @@
 		want = &wire.SubmitResponse{Accepted: true, Version: &wire.Version{Number: next.version}}
 	}
 	next.decided += req.GetSubmissionId() + "=" + outcome(want) + ";"
-	return !op.Certain() || outcome(op.Result().GetSubmit()) == outcome(want), next
+	return !op.Completed() || outcome(op.Result().GetSubmit()) == outcome(want), next
 }
 
 func outcome(r *wire.SubmitResponse) string {
@@ -68,15 +68,15 @@
 	switch body := op.Command().GetBody().(type) {
 	case *wire.Command_Claim:
 		want, next := m.claim(body.Claim.GetClaimId())
-		return !op.Certain() || op.Result().GetClaim().GetState() == want, next
+		return !op.Completed() || op.Result().GetClaim().GetState() == want, next
 	case *wire.Command_Complete:
 		stored := m.holder == body.Complete.GetClaimId()
 		next := m
 		next.completed = m.completed || stored
-		return !op.Certain() || op.Result().GetComplete().GetStored() == stored, next
+		return !op.Completed() || op.Result().GetComplete().GetStored() == stored, next
 	case *wire.Command_Release:
 		want, next := m.release(body.Release.GetClaimId())
-		return !op.Certain() || op.Result().GetRelease().GetReleased() == want, next
+		return !op.Completed() || op.Result().GetRelease().GetReleased() == want, next
 	}
 	return false, m
 }
@@ -128,7 +128,7 @@
 	all := map[string][]porcupine.Operation{}
 	for n, op := range operations {
 		end := int64(op.End())
-		if !op.Certain() {
+		if !op.Completed() {
 			end = math.MaxInt64
 		}
 		name := object(op)
--- a/control/schedule/members.go
+++ b/control/schedule/members.go
@@ -9,14 +9,14 @@
 const maxHosts = 12
 
 // Leader returns the name of a host that leads with the newest term, or "".
-func (w *World) Leader() string {
+func (w *Simulation) Leader() string {
 	if h := w.leader(); h != nil {
 		return h.name
 	}
 	return ""
 }
 
-func (w *World) leader() *host {
+func (w *Simulation) leader() *host {
 	var best *host
 	for _, h := range w.hosts {
 		if h.up && h.replica.Role() == quorum.Leader && (best == nil || h.replica.Term() > best.replica.Term()) {
@@ -27,7 +27,7 @@
 }
 
 // current returns the host of a name that still has its disk.
-func (w *World) current(name string) *host {
+func (w *Simulation) current(name string) *host {
 	for n := len(w.hosts) - 1; n >= 0; n-- {
 		if w.hosts[n].name == name {
 			return w.hosts[n]
@@ -37,7 +37,7 @@
 }
 
 // LoseDisk blanks the disk of a host, which starts again with a new identity.
-func (w *World) LoseDisk(name string) {
+func (w *Simulation) LoseDisk(name string) {
 	h := w.current(name)
 	if len(w.hosts) >= maxHosts {
 		return
@@ -52,14 +52,14 @@
 }
 
 // Crash stops a host's process; what was not synced is lost.
-func (w *World) Crash(name string) {
+func (w *Simulation) Crash(name string) {
 	if h := w.current(name); h.up {
 		h.crash()
 	}
 }
 
 // changeMembers proposes what an operator would do next at the leader.
-func (w *World) changeMembers() {
+func (w *Simulation) changeMembers() {
 	leader := w.leader()
 	if leader == nil {
 		return
@@ -77,7 +77,7 @@
 
 // repairStep proposes one change that brings the membership closer to all
 // hosts that have a disk being voters and no others being members.
-func (w *World) repairStep(leader *host) {
+func (w *Simulation) repairStep(leader *host) {
 	for _, h := range w.hosts {
 		if !h.gone && h.id != leader.id && roleOf(leader.replica.Members(), h.id) == quorum.Learner {
 			if _, _, err := leader.replica.Promote(h.id); err == nil {
@@ -110,7 +110,7 @@
 
 // Repaired reports whether all hosts with a disk are voters, and no others, in
 // the newest committed membership.
-func (w *World) Repaired() bool {
+func (w *Simulation) Repaired() bool {
 	for _, h := range w.hosts {
 		role := roleOf(w.members, h.id)
 		if (h.gone && role != "") || (!h.gone && role != quorum.Voter) {
--- a/control/schedule/repair_test.go
+++ b/control/schedule/repair_test.go
@@ -12,7 +12,7 @@
 func TestRepairOneThenLoseASecond(t *testing.T) {
 	for _, hosts := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
-			w := schedule.NewWorld(schedule.NewRandom(1), schedule.WithHosts(hosts), schedule.WithoutFaults())
+			w := schedule.NewSimulation(schedule.NewRandom(1), schedule.WithHosts(hosts), schedule.WithoutFaults())
 			for n := range hosts {
 				must.True(t, w.Submit())
 				must.True(t, w.Claim(fmt.Sprintf("key-%d", n%4)), must.Sprint("claim"))
@@ -24,7 +24,7 @@
 			}
 			must.True(t, w.Repair())
 			must.True(t, w.Submit())
-			w.Judge()
+			w.CheckHealed()
 			must.Eq(t, "", describe(w.Report()))
 		})
 	}
@@ -33,7 +33,7 @@
 // A host that comes back with a blank disk under its old name has no vote: the
 // two that are left must not lose what only one of them holds.
 func TestBlankDiskUnderAnOldNameHasNoVote(t *testing.T) {
-	w := schedule.NewWorld(schedule.NewRandom(2), schedule.WithHosts(3), schedule.WithoutFaults())
+	w := schedule.NewSimulation(schedule.NewRandom(2), schedule.WithHosts(3), schedule.WithoutFaults())
 	must.True(t, w.Submit())
 	leader := w.Leader()
 	w.LoseDisk(leader)
@@ -46,6 +46,6 @@
 	must.False(t, w.RunUntil(func() bool { return w.Leader() != "" }))
 	w.Heal()
 	must.True(t, w.Repair())
-	w.Judge()
+	w.CheckHealed()
 	must.Eq(t, "", describe(w.Report()))
 }
--- a/control/schedule/schedule.go
+++ b/control/schedule/schedule.go
@@ -25,34 +25,34 @@
 	Int(n int) int
 }
 
-// Promise names what a group must keep.
-type Promise string
+// Invariant names what a group must keep.
+type Invariant string
 
 // Promises that a run checks.
 const (
-	OneLeader      Promise = "one leader a term"
-	SameEntries    Promise = "committed entries never change"
-	NoLoss         Promise = "an accepted change is never lost"
-	NoReversal     Promise = "a confirmed version never goes back"
-	OneHolder      Promise = "at most one holder dispatches a claim"
-	SameResult     Promise = "a submission sent again gives the first result"
-	NoOrphan       Promise = "a claim that was given up does not block the key"
-	Recovers       Promise = "a group with a quorum makes progress"
-	DiskReads      Promise = "a crash leaves a folder that can be read"
-	SameState      Promise = "replicas with the same log hold the same state"
-	OneChange      Promise = "memberships differ by one replica"
-	StaysReachable Promise = "losses within the bound leave a quorum"
+	OneLeader        Invariant = "one leader a term"
+	SameEntries      Invariant = "committed entries never change"
+	NoLoss           Invariant = "an accepted change is never lost"
+	MonotonicReads   Invariant = "a confirmed version never goes back"
+	OneHolder        Invariant = "at most one holder dispatches a claim"
+	SameResult       Invariant = "a submission sent again gives the first result"
+	NoOrphanClaim    Invariant = "a claim that was given up does not block the key"
+	Liveness         Invariant = "a group with a quorum makes progress"
+	CrashConsistency Invariant = "a crash leaves a folder that can be read"
+	SameState        Invariant = "replicas with the same log hold the same state"
+	SingleChange     Invariant = "memberships differ by one replica"
+	QuorumSurvives   Invariant = "losses within the bound leave a quorum"
 )
 
 // Violation is a promise that was broken.
 type Violation struct {
-	promise Promise
+	promise Invariant
 	step    int
 	detail  string
 }
 
-// Promise returns the broken promise.
-func (v Violation) Promise() Promise { return v.promise }
+// Invariant returns the broken promise.
+func (v Violation) Invariant() Invariant { return v.promise }
 
 // String describes the violation.
 func (v Violation) String() string {
@@ -86,17 +86,17 @@
 // Crashes returns how many hosts crashed.
 func (r *Report) Crashes() int { return r.crashes }
 
-// Blanks returns how many hosts lost their disk.
-func (r *Report) Blanks() int { return r.blanks }
+// DiskLosses returns how many hosts lost their disk.
+func (r *Report) DiskLosses() int { return r.blanks }
 
 // Elections returns how many terms had a leader.
 func (r *Report) Elections() int { return r.elections }
 
-// Changes returns how many changes of membership were committed.
-func (r *Report) Changes() int { return r.changes }
+// MembershipChanges returns how many changes of membership were committed.
+func (r *Report) MembershipChanges() int { return r.changes }
 
 // Count returns how often a promise was broken.
-func (r *Report) Count(p Promise) int {
+func (r *Report) Count(p Invariant) int {
 	n := 0
 	for _, v := range r.violations {
 		if v.promise == p {
@@ -132,7 +132,7 @@
 
 // Run runs one schedule, heals the group and checks what must hold at the end.
 func Run(source Source, opts ...Option) *Report {
-	w := NewWorld(source, opts...)
+	w := NewSimulation(source, opts...)
 	for range w.steps {
 		w.step()
 		if len(w.report.violations) > 0 {
@@ -144,13 +144,13 @@
 	return w.report
 }
 
-// NewWorld returns a group that has just been formed.
-func NewWorld(source Source, opts ...Option) *World {
+// NewSimulation returns a group that has just been formed.
+func NewSimulation(source Source, opts ...Option) *Simulation {
 	o := options{hosts: 3, steps: 400, faults: true}
 	for _, opt := range opts {
 		opt(&o)
 	}
-	w := &World{
+	w := &Simulation{
 		options: o, source: source, report: &Report{}, blocked: map[[2]string]bool{},
 		leaders: map[uint64]string{}, entries: map[uint64]*wire.LogEntry{}, clients: newClients(),
 	}
--- a/control/schedule/schedule_test.go
+++ b/control/schedule/schedule_test.go
@@ -47,8 +47,8 @@
 	t.accepted += r.Accepted()
 	t.dispatched += r.Dispatched()
 	t.crashes += r.Crashes()
-	t.blanks += r.Blanks()
-	t.changes += r.Changes()
+	t.blanks += r.DiskLosses()
+	t.changes += r.MembershipChanges()
 }
 
 // describe joins the violations of a run, for the test's output.
--- a/control/schedule/world.go
+++ b/control/schedule/world.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// World is a control group with its network and its clients.
-type World struct {
+// Simulation is a control group with its network and its clients.
+type Simulation struct {
 	options
 	source  Source
 	report  *Report
@@ -26,14 +26,14 @@
 }
 
 // Report returns what was seen so far.
-func (w *World) Report() *Report { return w.report }
+func (w *Simulation) Report() *Report { return w.report }
 
-func (w *World) violate(p Promise, detail string) {
+func (w *Simulation) violate(p Invariant, detail string) {
 	w.report.violations = append(w.report.violations, Violation{promise: p, step: w.now, detail: detail})
 }
 
 // fault decides, once in n times, that a fault happens.
-func (w *World) fault(n int) bool { return w.faults && w.source.Int(n) == n-1 }
+func (w *Simulation) fault(n int) bool { return w.faults && w.source.Int(n) == n-1 }
 
 // restartOdds is after how many ticks, on average, a crashed host starts again.
 const restartOdds = 6
@@ -47,7 +47,7 @@
 // maxFlight bounds the messages that are on their way.
 const maxFlight = 200
 
-func (w *World) send(messages []*wire.QuorumMessage) {
+func (w *Simulation) send(messages []*wire.QuorumMessage) {
 	for _, m := range messages {
 		if w.blocked[[2]string{m.GetFrom(), m.GetTo()}] || len(w.flight) >= maxFlight || w.fault(25) {
 			continue
@@ -55,7 +55,7 @@
 		if m.GetKind() == wire.QuorumKind_QUORUM_SNAPSHOT {
 			s, err := w.find(m.GetFrom()).store.Snapshot()
 			if err != nil || s == nil {
-				w.violate(DiskReads, fmt.Sprintf("no snapshot to send: %v", err))
+				w.violate(CrashConsistency, fmt.Sprintf("no snapshot to send: %v", err))
 				continue
 			}
 			m.Snapshot = s
@@ -67,7 +67,7 @@
 	}
 }
 
-func (w *World) find(id string) *host {
+func (w *Simulation) find(id string) *host {
 	for _, h := range w.hosts {
 		if h.id == id {
 			return h
@@ -78,7 +78,7 @@
 
 // deliver hands over one message, mostly the oldest. It is encoded and decoded
 // on its way, so that hosts share no memory.
-func (w *World) deliver() {
+func (w *Simulation) deliver() {
 	if len(w.flight) == 0 {
 		return
 	}
@@ -97,7 +97,7 @@
 	h.flush()
 }
 
-func (w *World) tick(h *host) {
+func (w *Simulation) tick(h *host) {
 	if !h.up && !h.gone && w.faults && w.source.Int(restartOdds) == 0 {
 		h.start()
 	}
@@ -110,7 +110,7 @@
 }
 
 // step does one event.
-func (w *World) step() {
+func (w *Simulation) step() {
 	w.now++
 	switch n := w.source.Int(100); {
 	case n < 48:
@@ -133,7 +133,7 @@
 }
 
 // tickSome lets one host's clock run ahead of the others, at times by far.
-func (w *World) tickSome(h *host) {
+func (w *Simulation) tickSome(h *host) {
 	n := 1
 	if w.fault(8) {
 		n += w.source.Int(2 * electionTicks)
@@ -143,9 +143,9 @@
 	}
 }
 
-func (w *World) anyHost() *host { return w.hosts[w.source.Int(len(w.hosts))] }
+func (w *Simulation) anyHost() *host { return w.hosts[w.source.Int(len(w.hosts))] }
 
-func (w *World) breakSomething() {
+func (w *Simulation) breakSomething() {
 	h := w.anyHost()
 	switch w.source.Int(18) {
 	case 0:
@@ -174,7 +174,7 @@
 }
 
 // isolateLeader cuts the leader off, in one direction or in both.
-func (w *World) isolateLeader() {
+func (w *Simulation) isolateLeader() {
 	leader := w.leader()
 	if leader == nil {
 		return
@@ -192,14 +192,14 @@
 
 // loseDisk blanks a host's disk for good, if each membership that may be in
 // force keeps a quorum without it. The host comes back with a new identity.
-func (w *World) loseDisk(h *host) {
+func (w *Simulation) loseDisk(h *host) {
 	if h.gone || w.members == nil || !w.survives(h) {
 		return
 	}
 	w.LoseDisk(h.name)
 }
 
-func (w *World) survives(lost *host) bool {
+func (w *Simulation) survives(lost *host) bool {
 	for _, h := range w.hosts {
 		if h.gone || !h.up {
 			continue
@@ -213,7 +213,7 @@
 
 // allUp reports whether every disk that still exists is in use, so that all
 // memberships are seen.
-func (w *World) allUp() bool {
+func (w *Simulation) allUp() bool {
 	for _, h := range w.hosts {
 		if !h.gone && !h.up {
 			return false
@@ -222,7 +222,7 @@
 	return true
 }
 
-func (w *World) quorumWithout(members []*wire.Member, lost *host) bool {
+func (w *Simulation) quorumWithout(members []*wire.Member, lost *host) bool {
 	voters, left := 0, 0
 	for _, m := range members {
 		if m.GetRole() != quorum.Voter {
@@ -237,7 +237,7 @@
 }
 
 // checkEntry compares a committed entry with what other hosts committed.
-func (w *World) checkEntry(h *host, e *wire.LogEntry) {
+func (w *Simulation) checkEntry(h *host, e *wire.LogEntry) {
 	known, ok := w.entries[e.GetIndex()]
 	if !ok {
 		w.entries[e.GetIndex()] = e
@@ -251,9 +251,9 @@
 	}
 }
 
-func (w *World) checkChange(next []*wire.Member) {
+func (w *Simulation) checkChange(next []*wire.Member) {
 	if difference(w.members, next) > 1 && w.members != nil {
-		w.violate(OneChange, fmt.Sprintf("from %v to %v", w.members, next))
+		w.violate(SingleChange, fmt.Sprintf("from %v to %v", w.members, next))
 	}
 	w.members = next
 	w.report.changes++
--- a/control/settings/quorum.go
+++ b/control/settings/quorum.go
@@ -24,8 +24,8 @@
 // minElectionHeartbeats is how many heartbeats an election timeout spans.
 const minElectionHeartbeats = 3
 
-// Initial returns name and address of each host of the first membership.
-func (q *Quorum) Initial() [][2]string {
+// InitialHosts returns name and address of each host of the first membership.
+func (q *Quorum) InitialHosts() [][2]string {
 	var all [][2]string
 	for _, one := range q.Hosts {
 		name, address, _ := strings.Cut(one, "=")
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -221,7 +221,7 @@
 	record.Reason = d.ticket.Reason()
 	record.Waited = d.ticket.Waited()
 	probes := d.ticket.Probes()
-	record.Asked, record.Told, record.Look = probes.Sent, probes.Completed, probes.Elapsed
+	record.ProbesSent, record.ProbesCompleted, record.ProbeElapsed = probes.Sent, probes.Completed, probes.Elapsed
 	record.Candidates = d.ticket.Explain()
 	record.Latency = d.report.Latency
 }
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -174,7 +174,7 @@
 func (h *Handler) match(c *call) *outcome.Problem {
 	inForce := h.cfg.Table.Current()
 	c.version = inForce.Number()
-	if !h.cfg.Table.Learned() {
+	if !h.cfg.Table.Confirmed() {
 		return outcome.New(outcome.NotRun, outcome.NotReady, "this host has not learned the rules in force yet")
 	}
 	if host := rule.RequestHost(c.r); inForce.Set().HasHost(host) {
--- a/entry/control/primary_test.go
+++ b/entry/control/primary_test.go
@@ -112,21 +112,21 @@
 	revision uint64
 }
 
-func (k *known) Known() uint64 {
+func (k *known) Revision() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.revision
 }
 
-func (k *known) Take(_ []*wire.Instance, revision uint64) {
+func (k *known) Apply(_ []*wire.Instance, revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.revision = max(k.revision, revision)
 }
 
-func (*known) Suspect([]*wire.Suspect) {}
+func (*known) AddSuspects([]*wire.Suspect) {}
 
-func (*known) Active(int) {}
+func (*known) SetActiveHosts(int) {}
 
 // watchPrimary runs a watch of three hosts, of which c1 is in its zone.
 func watchPrimary(t *testing.T, k *known) (g tellingGroup, stop func()) {
@@ -163,7 +163,7 @@
 			g[name].set(func() { g[name].revision = 2 })
 		}
 		time.Sleep(drainKnown - 200*time.Millisecond) // changes are gathered for 150 ms
-		must.Eq(t, 2, k.Known())
+		must.Eq(t, 2, k.Revision())
 	})
 }
 
@@ -186,6 +186,6 @@
 		g["c0"].set(func() { g["c0"].revision = 2 })
 		g["c2"].set(func() { g["c2"].revision = 2 })
 		time.Sleep(500 * time.Millisecond)
-		must.Eq(t, 2, k.Known())
+		must.Eq(t, 2, k.Revision())
 	})
 }
--- a/entry/control/watch.go
+++ b/entry/control/watch.go
@@ -62,21 +62,21 @@
 	return func(w *Watch) { w.rates = rates }
 }
 
-// WithAdopt is told the last report of this host before its restart, once.
-func WithAdopt(adopt func(previous *wire.HostReport)) WatchOption {
+// WithRestore is told the last report of this host before its restart, once.
+func WithRestore(adopt func(previous *wire.HostReport)) WatchOption {
 	return func(w *Watch) { w.adopt = adopt }
 }
 
 // Membership takes what control hosts tell of instances and suspects.
 type Membership interface {
-	// Known returns the revision of the newest record of an instance.
-	Known() uint64
-	// Take takes records of instances, oldest first, up to a revision.
-	Take(instances []*wire.Instance, revision uint64)
-	// Suspect takes fingerprints of requests that cost instances.
-	Suspect(suspects []*wire.Suspect)
-	// Active takes the number of entry hosts that serve one name.
-	Active(hosts int)
+	// Revision returns the revision of the newest record of an instance.
+	Revision() uint64
+	// Apply takes records of instances, oldest first, up to a revision.
+	Apply(instances []*wire.Instance, revision uint64)
+	// AddSuspects takes fingerprints of requests that cost instances.
+	AddSuspects(suspects []*wire.Suspect)
+	// SetActiveHosts takes the number of entry hosts that serve one name.
+	SetActiveHosts(hosts int)
 }
 
 // WithMembership learns instances and suspects from the control hosts.
@@ -227,7 +227,7 @@
 	defer cancel()
 	request := &wire.WatchRequest{Report: w.report(), KnownVersion: known.Number(), WaitMs: wait.Milliseconds(), Whole: host.whole}
 	if primary {
-		request.Instances, request.KnownInstances, request.KnownSuspects = true, w.members.Known(), host.suspects
+		request.Instances, request.KnownInstances, request.KnownSuspects = true, w.members.Revision(), host.suspects
 	}
 	response, err := host.rules.Watch(ctx, request)
 	if errors.Is(context.Cause(ctx), errElected) {
@@ -252,9 +252,9 @@
 func (w *Watch) learn(host *watched, response *wire.WatchResponse, primary bool) {
 	w.join(response.GetSeeds())
 	if primary {
-		w.members.Take(response.GetInstances(), response.GetInstancesRevision())
-		w.members.Suspect(response.GetSuspects())
-		w.members.Active(int(response.GetActiveHosts()))
+		w.members.Apply(response.GetInstances(), response.GetInstancesRevision())
+		w.members.AddSuspects(response.GetSuspects())
+		w.members.SetActiveHosts(int(response.GetActiveHosts()))
 		host.suspects = response.GetSuspectsRevision()
 	}
 	if !response.GetStale() {
@@ -272,7 +272,7 @@
 // wait is short while a quorum has not confirmed the version that a stale
 // answer brought, since this host takes no callers before.
 func (w *Watch) wait() time.Duration {
-	if w.table.Current().Number() > 0 && !w.table.Learned() {
+	if w.table.Current().Number() > 0 && !w.table.Confirmed() {
 		return firstWait
 	}
 	return watchWait
--- a/entry/control/watch_test.go
+++ b/entry/control/watch_test.go
@@ -191,10 +191,10 @@
 		defer w.stop()
 		time.Sleep(time.Minute)
 		must.Eq(t, 3, w.table.Current().Number())
-		must.False(t, w.table.Learned())
+		must.False(t, w.table.Confirmed())
 		g.set(func() { g.hosts[1].state = current })
 		time.Sleep(time.Second)
-		must.True(t, w.table.Learned())
+		must.True(t, w.table.Confirmed())
 		must.Eq(t, 4, w.table.Current().Number())
 	})
 }
@@ -209,7 +209,7 @@
 		must.LessEq(t, 4*time.Second, time.Since(w.table.ConfirmedAt()))
 		g.set(func() { g.hosts[0].state, g.hosts[1].state, g.hosts[2].state = cutOff, down, silent })
 		time.Sleep(time.Hour)
-		must.True(t, w.table.Learned())
+		must.True(t, w.table.Confirmed())
 		must.Between(t, time.Hour-time.Second, time.Since(w.table.ConfirmedAt()), time.Hour+5*time.Second)
 	})
 }
@@ -257,7 +257,7 @@
 	}
 	g.set(func() { g.newest++; g.hosts[1].state = current })
 	time.Sleep(3 * time.Second)
-	if got := w.table.Current().Number(); got != uint64(g.newest) || !w.table.Learned() {
+	if got := w.table.Current().Number(); got != uint64(g.newest) || !w.table.Confirmed() {
 		return errors.Errorf("version %d after 3 s, in force is %d", got, g.newest)
 	}
 	return nil
--- a/entry/decision/decision.go
+++ b/entry/decision/decision.go
@@ -28,9 +28,9 @@
 	InFlight     int     `json:"inFlight"`             // of this host
 	Others       int     `json:"others,omitempty"`     // of the other entry hosts, as shared
 	Reported     int     `json:"reported,omitempty"`   // by the instance itself
-	KnownAgeNs   int64   `json:"knownAgeNs,omitempty"` // age of what others and the instance said
+	ReportAgeNs  int64   `json:"knownAgeNs,omitempty"` // age of what others and the instance said
 	Score        float64 `json:"score"`
-	Speed        float64 `json:"speed,omitempty"`        // multiple of the usual time that work takes, as last told
+	Slowdown     float64 `json:"speed,omitempty"`        // multiple of the usual time that work takes, as last told
 	LatencyNs    int64   `json:"latencyNs,omitempty"`    // service time, normalised by the requests in flight
 	LatencyAgeNs int64   `json:"latencyAgeNs,omitempty"` // age of the last answer that it was learnt from
 	WhyExcluded  string  `json:"whyExcluded,omitempty"`
@@ -38,28 +38,28 @@
 
 // Decision is one line of the decision log. It is not changed once written.
 type Decision struct {
-	ID         string        `json:"id"`
-	Kind       Kind          `json:"kind"`
-	At         time.Time     `json:"at"`
-	Host       string        `json:"host,omitempty"`
-	Service    string        `json:"service"`
-	Method     string        `json:"method,omitempty"`
-	Path       string        `json:"path,omitempty"`
-	Caller     string        `json:"caller,omitempty"`
-	Rule       string        `json:"rule,omitempty"`
-	Version    uint64        `json:"version,omitempty"`
-	Attempt    int           `json:"attempt,omitempty"`
-	Instance   string        `json:"instance,omitempty"`
-	Reason     string        `json:"reason,omitempty"`
-	Waited     time.Duration `json:"waitedNs,omitempty"`
-	Asked      int           `json:"asked,omitempty"` // instances asked for their load before the choice
-	Told       int           `json:"told,omitempty"`  // of them, in time
-	Look       time.Duration `json:"lookNs,omitempty"`
-	Latency    time.Duration `json:"latencyNs,omitempty"`
-	Status     int           `json:"status,omitempty"`
-	Outcome    string        `json:"outcome,omitempty"`
-	Problem    string        `json:"problem,omitempty"`
-	Detail     string        `json:"detail,omitempty"` // why, for people
-	Hosts      []string      `json:"hosts,omitempty"`  // entry hosts of a placement
-	Candidates []Candidate   `json:"candidates,omitempty"`
+	ID              string        `json:"id"`
+	Kind            Kind          `json:"kind"`
+	At              time.Time     `json:"at"`
+	Host            string        `json:"host,omitempty"`
+	Service         string        `json:"service"`
+	Method          string        `json:"method,omitempty"`
+	Path            string        `json:"path,omitempty"`
+	Caller          string        `json:"caller,omitempty"`
+	Rule            string        `json:"rule,omitempty"`
+	Version         uint64        `json:"version,omitempty"`
+	Attempt         int           `json:"attempt,omitempty"`
+	Instance        string        `json:"instance,omitempty"`
+	Reason          string        `json:"reason,omitempty"`
+	Waited          time.Duration `json:"waitedNs,omitempty"`
+	ProbesSent      int           `json:"asked,omitempty"` // instances asked for their load before the choice
+	ProbesCompleted int           `json:"told,omitempty"`  // of them, in time
+	ProbeElapsed    time.Duration `json:"lookNs,omitempty"`
+	Latency         time.Duration `json:"latencyNs,omitempty"`
+	Status          int           `json:"status,omitempty"`
+	Outcome         string        `json:"outcome,omitempty"`
+	Problem         string        `json:"problem,omitempty"`
+	Detail          string        `json:"detail,omitempty"` // why, for people
+	Hosts           []string      `json:"hosts,omitempty"`  // entry hosts of a placement
+	Candidates      []Candidate   `json:"candidates,omitempty"`
 }
--- a/entry/discovery/address.go
+++ b/entry/discovery/address.go
@@ -10,8 +10,8 @@
 	"github.com/snipebeam/snipebeam/world/placement"
 )
 
-// AnswerLifetime is how long a caller may keep an address answer.
-const AnswerLifetime = 5 * time.Second
+// AddressTTL is how long a caller may keep an address answer.
+const AddressTTL = 5 * time.Second
 
 // Address is one entry host in an address answer.
 type Address struct {
@@ -22,8 +22,8 @@
 	Spare bool `json:"spare,omitempty"`
 }
 
-// AddressAnswer tells a caller which entry hosts to use for a service.
-type AddressAnswer struct {
+// AddressResponse tells a caller which entry hosts to use for a service.
+type AddressResponse struct {
 	Service    string    `json:"service"`
 	TTLSeconds float64   `json:"ttlSeconds"`
 	Addresses  []Address `json:"addresses"`
@@ -32,7 +32,7 @@
 func (p *platform) addresses(c *gin.Context) {
 	service := c.Param("service")
 	inForce := p.parts.Table.Current()
-	if !p.parts.Table.Learned() {
+	if !p.parts.Table.Confirmed() {
 		refuse(c, NotReady, "this host has not learned the rules in force yet")
 		return
 	}
@@ -41,7 +41,7 @@
 		refuse(c, UnknownService, "no rule names the service "+service)
 		return
 	}
-	answer := AddressAnswer{Service: service, TTLSeconds: AnswerLifetime.Seconds(), Addresses: []Address{}}
+	answer := AddressResponse{Service: service, TTLSeconds: AddressTTL.Seconds(), Addresses: []Address{}}
 	var names []string
 	plan := placement.Plan{Spread: set.Terms(service).Spread(), HostRate: p.parts.HostRate, Rate: p.parts.Rate(service)}
 	chosen := placement.Choose(p.parts.Entries(), service, c.Query("zone"), plan)
--- a/entry/discovery/announcement.go
+++ b/entry/discovery/announcement.go
@@ -45,11 +45,11 @@
 
 // Membership takes what instances say of themselves.
 type Membership interface {
-	// Hear takes an announcement and renews its lease.
-	Hear(m *wire.Instance) error
-	// Gone takes an instance's word that it leaves; incarnation 0 means the
+	// Announce takes an announcement and renews its lease.
+	Announce(m *wire.Instance) error
+	// Withdraw takes an instance's word that it leaves; incarnation 0 means the
 	// one that is known.
-	Gone(id string, incarnation uint64) error
+	Withdraw(id string, incarnation uint64) error
 	// Alternates returns platform addresses of other entry hosts.
 	Alternates(id string) []string
 }
@@ -112,7 +112,7 @@
 		refuse(c, Malformed, err.Error())
 		return
 	}
-	p.answer(c, p.parts.Members.Hear(&wire.Instance{
+	p.answer(c, p.parts.Members.Announce(&wire.Instance{
 		Id: c.Param("id"), Service: a.Service, Address: a.Address, Zone: a.Zone, Slots: a.Slots, MaxLinks: a.MaxLinks,
 		Cold: a.Cold, Draining: a.Draining, Incarnation: a.Incarnation, Sequence: a.Sequence,
 	}))
@@ -124,7 +124,7 @@
 		refuse(c, Malformed, "incarnation is not a number")
 		return
 	}
-	p.answer(c, p.parts.Members.Gone(c.Param("id"), incarnation))
+	p.answer(c, p.parts.Members.Withdraw(c.Param("id"), incarnation))
 }
 
 func (p *platform) answer(c *gin.Context, err error) {
--- a/entry/discovery/discovery.go
+++ b/entry/discovery/discovery.go
@@ -25,8 +25,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Parts are what the platform's handler works with.
-type Parts struct {
+// Config are what the platform's handler works with.
+type Config struct {
 	Host      string
 	Table     *rules.Table
 	Members   Membership
@@ -40,11 +40,11 @@
 }
 
 type platform struct {
-	parts Parts
+	parts Config
 }
 
 // New returns the handler.
-func New(parts Parts) http.Handler {
+func New(parts Config) http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.HandleMethodNotAllowed = true
--- a/entry/discovery/discovery_test.go
+++ b/entry/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 
 func newFixture(keys ...string) *fixture {
 	f := &fixture{table: rules.NewTable(), members: newMembers()}
-	f.handler = discovery.New(discovery.Parts{
+	f.handler = discovery.New(discovery.Config{
 		Host: "e1", Table: f.table, Members: f.members, Entries: func() []*wire.HostReport { return f.entries },
 		Ready: func() bool { return true }, Rate: placement.NewRates().ArrivalRate,
 		Decisions: decision.NewLog(hclog.NewNullLogger()), Keys: key.New(keys...), Metrics: func(io.Writer) {},
@@ -73,7 +73,7 @@
 	for _, name := range []string{"e1", "e2", "e3"} {
 		f.entries = append(f.entries, &wire.HostReport{Name: name, Role: "entry", State: "ready", Zone: "z" + name[1:], CallersAddress: "127.0.0.1:720" + name[1:]})
 	}
-	var answer discovery.AddressAnswer
+	var answer discovery.AddressResponse
 	w = f.call(http.MethodGet, "/v1/addresses/a?zone=z2", "")
 	must.NoError(t, json.Unmarshal(w.Body.Bytes(), &answer))
 	must.Len(t, 2, answer.Addresses)
--- a/entry/discovery/members_test.go
+++ b/entry/discovery/members_test.go
@@ -21,12 +21,12 @@
 	return &members{core: gossip.New(&wire.GossipHost{Name: "e1", Epoch: 1}, rand.New(rand.NewPCG(1, 1)))}
 }
 
-func (m *members) Hear(i *wire.Instance) error {
+func (m *members) Announce(i *wire.Instance) error {
 	_, err := m.core.Announce(0, i)
 	return err
 }
 
-func (m *members) Gone(id string, incarnation uint64) error {
+func (m *members) Withdraw(id string, incarnation uint64) error {
 	_, err := m.core.Withdraw(0, id, incarnation)
 	return err
 }
--- a/entry/host/directory.go
+++ b/entry/host/directory.go
@@ -19,7 +19,7 @@
 }
 
 // Ready reports whether this host knows the rules in force.
-func (d *directory) Ready() bool { return d.table.Learned() }
+func (d *directory) Ready() bool { return d.table.Confirmed() }
 
 // Service returns the hosts for a service.
 func (d *directory) Service(name string) (placement.Selection, bool) {
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -82,7 +82,7 @@
 
 // Ready reports whether this host takes callers.
 func (s *State) Ready() bool {
-	return s.bound.Load() && !s.draining.Load() && s.table.Learned()
+	return s.bound.Load() && !s.draining.Load() && s.table.Confirmed()
 }
 
 // Name returns "starting", "ready", "draining" or "left".
@@ -180,7 +180,7 @@
 }
 
 func runPlatform(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, logger hclog.Logger, state *State, table *rules.Table, node *peer.Node, decisions *decision.Log, doors *doors, exporter *prometheus.Exporter) {
-	handler := discovery.New(discovery.Parts{
+	handler := discovery.New(discovery.Config{
 		Host: cfg.Host.Name, Table: table, Members: node, Entries: node.Entries,
 		Ready: state.Ready, Metrics: exporter.Write, Decisions: decisions, Keys: doors.upstreams, HostRate: cfg.Route.HostRate, Rate: rates.ArrivalRate,
 	})
@@ -195,8 +195,8 @@
 }
 
 func runPeers(lc fx.Lifecycle, cfg *settings.Settings, logger hclog.Logger, state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log, node *peer.Node, ring *key.Ring, doors *doors) {
-	service := operator.New(operator.Parts{
-		Host: cfg.Host.Name, Table: table, Views: views, Book: book, Decisions: decisions,
+	service := operator.New(operator.Config{
+		Host: cfg.Host.Name, Table: table, Views: views, Backlog: book, Decisions: decisions,
 		Report: state.Report, Drain: state.draining.Store, Logger: logger,
 	})
 	mux := http.NewServeMux()
@@ -210,7 +210,7 @@
 }
 
 func runDNS(lc fx.Lifecycle, cfg *settings.Settings, rates *placement.Rates, table *rules.Table, node *peer.Node) {
-	server := dns.New(cfg.Listen.Domain, discovery.AnswerLifetime, &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries})
+	server := dns.New(cfg.Listen.Domain, discovery.AddressTTL, &directory{zone: cfg.Host.Zone, hostRate: cfg.Route.HostRate, rates: rates, table: table, entries: node.Entries})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			_, err := server.Start(cfg.Listen.DNS)
--- a/entry/host/membership.go
+++ b/entry/host/membership.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	suspects.SetBroadcast(node.ShareSuspects)
+	suspects.SetBroadcast(node.BroadcastSuspects)
 	return node, nil
 }
 
@@ -60,7 +60,7 @@
 	client := ring.Client(&http.Client{Transport: control.NewTransport()})
 	opts := []control.WatchOption{
 		control.WithRates(rates.Store),
-		control.WithAdopt(func(previous *wire.HostReport) { state.book.RestoreAlarms(previous.GetBacklog()) }),
+		control.WithRestore(func(previous *wire.HostReport) { state.book.RestoreAlarms(previous.GetBacklog()) }),
 	}
 	join := node.Join
 	if cfg.Peers.Membership == settings.MembershipControl {
--- a/entry/host/metrics.go
+++ b/entry/host/metrics.go
@@ -9,5 +9,5 @@
 )
 
 func newExporter(state *State, table *rules.Table, views *route.Views, book *backlog.Tracker, decisions *decision.Log) *prometheus.Exporter {
-	return prometheus.New(prometheus.Parts{Table: table, Views: views, Book: book, Decisions: decisions, State: state.Name})
+	return prometheus.New(prometheus.Config{Table: table, Views: views, Backlog: book, Decisions: decisions, State: state.Name})
 }
--- a/entry/host/probe.go
+++ b/entry/host/probe.go
@@ -32,8 +32,8 @@
 	}
 	terms := func(service string) *contract.Service { return table.Current().Set().Terms(service) }
 	p := &prober{scout: scout, router: router, cfg: cfg}
-	p.planner = probe.NewPlanner(probe.Settings{
-		Hosts: cfg.Probe.Hosts, Window: probeWindow, Most: milliseconds(cfg.Probe.MostMs), Stale: milliseconds(cfg.Probe.StaleMs), Least: cfg.Probe.LeastRate,
+	p.planner = probe.NewPlanner(probe.Config{
+		Hosts: cfg.Probe.Hosts, Window: probeWindow, MaxDuration: milliseconds(cfg.Probe.MostMs), StaleAfter: milliseconds(cfg.Probe.StaleMs), MinRate: cfg.Probe.LeastRate,
 	}, views, terms, time.Now().UnixNano())
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.StartStopHook(func() { go p.run(ctx) }, cancel))
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -21,12 +21,12 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Parts are what the service works with.
-type Parts struct {
+// Config are what the service works with.
+type Config struct {
 	Host      string
 	Table     *rules.Table
 	Views     *route.Views
-	Book      *backlog.Tracker
+	Backlog   *backlog.Tracker
 	Decisions *decision.Log
 	Report    func() *wire.HostReport
 	Drain     func(drain bool)
@@ -35,11 +35,11 @@
 
 // Service implements the Twirp service.
 type Service struct {
-	parts Parts
+	parts Config
 }
 
 // New returns the service of one entry host.
-func New(parts Parts) *Service { return &Service{parts: parts} }
+func New(parts Config) *Service { return &Service{parts: parts} }
 
 // Instances lists the instances as this host sees them.
 func (s *Service) Instances(_ context.Context, req *wire.InstancesRequest) (*wire.InstancesResponse, error) {
@@ -81,7 +81,7 @@
 // Backlog lists what is waiting and in flight at this host.
 func (s *Service) Backlog(_ context.Context, req *wire.BacklogRequest) (*wire.BacklogResponse, error) {
 	response := &wire.BacklogResponse{ServedBy: s.parts.Host, AsOf: time.Now().UnixNano()}
-	for _, line := range s.parts.Book.Services(time.Now()) {
+	for _, line := range s.parts.Backlog.Services(time.Now()) {
 		if req.GetService() == "" || req.GetService() == line.GetService() {
 			response.Services = append(response.Services, line)
 		}
@@ -99,7 +99,7 @@
 // Drain starts or ends draining this host.
 func (s *Service) Drain(_ context.Context, req *wire.DrainRequest) (*wire.DrainResponse, error) {
 	s.parts.Drain(req.GetDrain())
-	inFlight, oldest := s.parts.Book.InFlight(time.Now())
+	inFlight, oldest := s.parts.Backlog.InFlight(time.Now())
 	return &wire.DrainResponse{State: s.parts.Report().GetState(), InFlight: uint32(inFlight), OldestNs: int64(oldest)}, nil
 }
 
--- a/entry/peer/node.go
+++ b/entry/peer/node.go
@@ -137,7 +137,7 @@
 			changes = append(changes, registry.Announced(n.core.Instance(id)))
 			continue
 		}
-		changes = append(changes, registry.Lost(id))
+		changes = append(changes, registry.Removed(id))
 	}
 	n.cfg.Registry.Update(changes)
 }
@@ -163,8 +163,8 @@
 	n.step(context.Background(), func(now time.Duration) gossip.Output { return n.core.Join(now, seeds) })
 }
 
-// Hear takes an instance's announcement.
-func (n *Node) Hear(m *wire.Instance) (err error) {
+// Announce takes an instance's announcement.
+func (n *Node) Announce(m *wire.Instance) (err error) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output {
 		var out gossip.Output
 		out, err = n.core.Announce(now, m)
@@ -173,9 +173,9 @@
 	return err
 }
 
-// Gone takes an instance's word that it leaves; incarnation 0 means the one
+// Withdraw takes an instance's word that it leaves; incarnation 0 means the one
 // that is known.
-func (n *Node) Gone(id string, incarnation uint64) (err error) {
+func (n *Node) Withdraw(id string, incarnation uint64) (err error) {
 	n.step(context.Background(), func(now time.Duration) gossip.Output {
 		var out gossip.Output
 		out, err = n.core.Withdraw(now, id, incarnation)
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -50,7 +50,7 @@
 func TestNodesLearnHostsAndInstancesFromEachOther(t *testing.T) {
 	first, _, seed := start(t, "e1", "new", "old")
 	for n := range 600 { // more than a page
-		must.NoError(t, first.Hear(&wire.Instance{Id: fmt.Sprintf("i%d", n), Service: "s", Address: "127.0.0.1:1"}))
+		must.NoError(t, first.Announce(&wire.Instance{Id: fmt.Sprintf("i%d", n), Service: "s", Address: "127.0.0.1:1"}))
 	}
 	second, secondReg, _ := start(t, "e2", "old", "new")
 	third, thirdReg, _ := start(t, "e3", "new", "old")
@@ -60,7 +60,7 @@
 	}
 	eventually(func() bool { return secondReg.Len() == 600 && thirdReg.Len() == 600 })
 	eventually(func() bool { return len(first.Entries()) == 3 && len(third.Entries()) == 3 })
-	must.NoError(t, second.Gone("i7", 0))
+	must.NoError(t, second.Withdraw("i7", 0))
 	eventually(func() bool { return thirdReg.Len() == 599 })
 	must.Len(t, 1, stranger.Entries())
 	must.SliceContains(t, first.Alternates("i1"), "e2:1")
--- a/entry/peer/suspects.go
+++ b/entry/peer/suspects.go
@@ -20,9 +20,9 @@
 	return &wire.SuspectsResponse{Suspects: book.Suspects()}, nil
 }
 
-// ShareSuspects sends suspects to every other entry host and waits until all
+// BroadcastSuspects sends suspects to every other entry host and waits until all
 // have taken them or the context ends.
-func (n *Node) ShareSuspects(ctx context.Context, suspects []*wire.Suspect) {
+func (n *Node) BroadcastSuspects(ctx context.Context, suspects []*wire.Suspect) {
 	var group sync.WaitGroup
 	for _, entry := range n.Entries() {
 		if entry.GetName() == n.cfg.Self.GetName() {
@@ -38,4 +38,4 @@
 	group.Wait()
 }
 
-var _ poison.Broadcast = (*Node)(nil).ShareSuspects
+var _ poison.Broadcast = (*Node)(nil).BroadcastSuspects
--- a/entry/probe/ledger.go
+++ b/entry/probe/ledger.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Ledger holds one host's part of one instance's budget over a sliding window.
-type Ledger struct {
+// Limiter holds one host's part of one instance's budget over a sliding window.
+type Limiter struct {
 	share  time.Duration // slot time that this host may use in a window
 	window time.Duration
 	most   time.Duration // time that one probe may take
@@ -33,40 +33,40 @@
 
 // Reservation is the slot time set aside for one probe.
 type Reservation struct {
-	ledger *Ledger
+	ledger *Limiter
 	cost   time.Duration
 	endsAt int64
 }
 
-// Plan says what all hosts together may spend on one instance.
-type Plan struct {
-	Budget float64       // share of the slot time
-	Slots  int           // of the instance
-	Hosts  int           // entry hosts that may exist at one time
-	Window time.Duration // over which the budget holds
-	Most   time.Duration // time that one probe may take
+// LimiterConfig says what all hosts together may spend on one instance.
+type LimiterConfig struct {
+	Budget      float64       // share of the slot time
+	Slots       int           // of the instance
+	Hosts       int           // entry hosts that may exist at one time
+	Window      time.Duration // over which the budget holds
+	MaxDuration time.Duration // time that one probe may take
 }
 
-// NewLedger returns the part of one host that started at a time. The window
+// NewLimiter returns the part of one host that started at a time. The window
 // grows until one probe fits into the host's part.
-func NewLedger(p Plan, startedAt int64) *Ledger {
+func NewLimiter(p LimiterConfig, startedAt int64) *Limiter {
 	window := p.Window
 	perNanosecond := p.Budget * float64(p.Slots) / float64(max(p.Hosts, 1))
 	if perNanosecond > 0 {
-		window = max(window, time.Duration(float64(p.Most)/perNanosecond)+1)
+		window = max(window, time.Duration(float64(p.MaxDuration)/perNanosecond)+1)
 	}
-	return &Ledger{
+	return &Limiter{
 		share: time.Duration(perNanosecond * float64(window)), window: window,
-		most: p.Most, from: startedAt + int64(window),
+		most: p.MaxDuration, from: startedAt + int64(window),
 	}
 }
 
 // Window returns the window over which the budget holds.
-func (l *Ledger) Window() time.Duration { return l.window }
+func (l *Limiter) Window() time.Duration { return l.window }
 
 // Reserve sets aside the time that a probe may take, or returns nil. The probe
 // ends within that time.
-func (l *Ledger) Reserve(now int64) *Reservation {
+func (l *Limiter) Reserve(now int64) *Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
@@ -93,12 +93,12 @@
 }
 
 // pause is the time in which a cost is earned.
-func (l *Ledger) pause(cost time.Duration) int64 {
+func (l *Limiter) pause(cost time.Duration) int64 {
 	return int64(float64(cost) / float64(l.share) * float64(l.window))
 }
 
 // expire drops the probes that ended more than a window ago.
-func (l *Ledger) expire(now int64) {
+func (l *Limiter) expire(now int64) {
 	n := 0
 	for n < len(l.entries) && l.entries[n].endsAt+int64(l.window) <= now {
 		l.spent -= l.entries[n].cost
@@ -108,14 +108,14 @@
 }
 
 // Used returns the slot time spent since the start.
-func (l *Ledger) Used() time.Duration {
+func (l *Limiter) Used() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.used
 }
 
 // lastEnd returns when the last probe ends at the latest.
-func (l *Ledger) lastEnd() int64 {
+func (l *Limiter) lastEnd() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.entries) == 0 {
--- a/entry/probe/ledger_test.go
+++ b/entry/probe/ledger_test.go
@@ -21,14 +21,14 @@
 // other: they join, leave, restart and probe whenever they can.
 func TestBudgetHoldsOverAnyWindowAndMembership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plan := probe.Plan{
+		plan := probe.LimiterConfig{
 			Budget: rapid.SampledFrom([]float64{0.001, 0.01, 0.05}).Draw(t, "budget"),
 			Slots:  rapid.IntRange(1, 8).Draw(t, "slots"), Hosts: rapid.IntRange(1, 29).Draw(t, "hosts"),
-			Window: time.Minute, Most: 20 * time.Millisecond,
+			Window: time.Minute, MaxDuration: 20 * time.Millisecond,
 		}
-		hosts := make([]*probe.Ledger, plan.Hosts)
+		hosts := make([]*probe.Limiter, plan.Hosts)
 		for n := range hosts {
-			hosts[n] = probe.NewLedger(plan, 0)
+			hosts[n] = probe.NewLimiter(plan, 0)
 		}
 		window := int64(hosts[0].Window())
 		var spells []spell
@@ -37,11 +37,11 @@
 			now += rapid.Int64Range(0, window/10).Draw(t, "pause")
 			n := rapid.IntRange(0, plan.Hosts-1).Draw(t, "host")
 			if rapid.IntRange(0, 19).Draw(t, "fate") == 0 {
-				hosts[n] = probe.NewLedger(plan, now) // a restart, or another host in its place
+				hosts[n] = probe.NewLimiter(plan, now) // a restart, or another host in its place
 				continue
 			}
 			for r := hosts[n].Reserve(now); r != nil; r = hosts[n].Reserve(now) {
-				took := time.Duration(rapid.Int64Range(1, int64(plan.Most)).Draw(t, "took"))
+				took := time.Duration(rapid.Int64Range(1, int64(plan.MaxDuration)).Draw(t, "took"))
 				r.Settle(took)
 				spells = append(spells, spell{now, now + int64(took)})
 			}
@@ -68,8 +68,8 @@
 }
 
 func TestProbesAreMadeOnceTheWindowHasPassed(t *testing.T) {
-	plan := probe.Plan{Budget: 0.01, Slots: 3, Hosts: 29, Window: time.Minute, Most: 6 * time.Millisecond}
-	l := probe.NewLedger(plan, 0)
+	plan := probe.LimiterConfig{Budget: 0.01, Slots: 3, Hosts: 29, Window: time.Minute, MaxDuration: 6 * time.Millisecond}
+	l := probe.NewLimiter(plan, 0)
 	must.Nil(t, l.Reserve(int64(time.Minute)-1))
 	made := 0
 	for now := int64(time.Minute); now < int64(2*time.Minute); now += int64(time.Millisecond) {
--- a/entry/probe/planner.go
+++ b/entry/probe/planner.go
@@ -9,19 +9,19 @@
 	"github.com/snipebeam/snipebeam/world/instance"
 )
 
-// Settings of probes.
-type Settings struct {
-	Hosts  int           // entry hosts that may exist at one time
-	Window time.Duration // over which the budget holds
-	Most   time.Duration // time that one probe may take
-	Stale  time.Duration // age from which what is known is no longer fresh
-	Least  float64       // answers a second from which a host serves a service, 0 for any
+// Config of probes.
+type Config struct {
+	Hosts       int           // entry hosts that may exist at one time
+	Window      time.Duration // over which the budget holds
+	MaxDuration time.Duration // time that one probe may take
+	StaleAfter  time.Duration // age from which what is known is no longer fresh
+	MinRate     float64       // answers a second from which a host serves a service, 0 for any
 }
 
 // Planner says which instances to probe. A host asks only about services that
 // it serves: those that sent it requests of late.
 type Planner struct {
-	settings  Settings
+	settings  Config
 	views     *route.Views
 	terms     func(service string) *contract.Service
 	startedAt int64
@@ -32,12 +32,12 @@
 }
 
 type entry struct {
-	ledger *Ledger
+	ledger *Limiter
 	budget float64
 }
 
 // NewPlanner returns a planner of a host that started at a time.
-func NewPlanner(s Settings, views *route.Views, terms func(service string) *contract.Service, startedAt int64) *Planner {
+func NewPlanner(s Config, views *route.Views, terms func(service string) *contract.Service, startedAt int64) *Planner {
 	return &Planner{settings: s, views: views, terms: terms, startedAt: startedAt, ledgers: map[instance.ID]*entry{}}
 }
 
@@ -89,30 +89,30 @@
 // serves reports whether the service's requests come to this host.
 func (p *Planner) serves(view *route.View, now int64) bool {
 	last := view.Stats().LastSuccess()
-	return last != 0 && now-last < int64(p.settings.Window) && view.Stats().Rate(now) >= p.settings.Least
+	return last != 0 && now-last < int64(p.settings.Window) && view.Stats().Rate(now) >= p.settings.MinRate
 }
 
 // fresh reports whether an answer or a probe told of the instance of late.
 func (p *Planner) fresh(m route.Member, now int64) bool {
 	_, at := m.Load().Reported()
-	return now-max(at, m.Load().LatencyAt()) < int64(p.settings.Stale)
+	return now-max(at, m.Load().LatencyAt()) < int64(p.settings.StaleAfter)
 }
 
 // ledger returns the instance's ledger. A changed budget starts a new one with
 // a whole window to wait, so that neither the old nor the new is exceeded.
-func (p *Planner) ledger(i *instance.Instance, budget float64) *Ledger {
+func (p *Planner) ledger(i *instance.Instance, budget float64) *Limiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.ledgers[i.ID()]
 	if old != nil && old.budget == budget {
 		return old.ledger
 	}
-	plan := Plan{Budget: budget, Slots: i.Slots(), Hosts: p.settings.Hosts, Window: p.settings.Window, Most: p.settings.Most}
+	plan := LimiterConfig{Budget: budget, Slots: i.Slots(), Hosts: p.settings.Hosts, Window: p.settings.Window, MaxDuration: p.settings.MaxDuration}
 	from := p.startedAt
 	if old != nil {
 		from = max(from, old.ledger.lastEnd())
 	}
-	next := &entry{ledger: NewLedger(plan, from), budget: budget}
+	next := &entry{ledger: NewLimiter(plan, from), budget: budget}
 	p.ledgers[i.ID()] = next
 	return next.ledger
 }
--- a/entry/prometheus/prometheus.go
+++ b/entry/prometheus/prometheus.go
@@ -21,28 +21,28 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Parts are what the metrics are read from at each scrape.
-type Parts struct {
+// Config are what the metrics are read from at each scrape.
+type Config struct {
 	Table     *rules.Table
 	Views     *route.Views
-	Book      *backlog.Tracker
+	Backlog   *backlog.Tracker
 	Decisions *decision.Log
 	State     func() string // "starting", "ready" or "draining"
 }
 
 // Exporter writes metrics.
 type Exporter struct {
-	parts Parts
+	parts Config
 }
 
 // New returns an exporter.
-func New(parts Parts) *Exporter { return &Exporter{parts: parts} }
+func New(parts Config) *Exporter { return &Exporter{parts: parts} }
 
 // Write writes all metrics: this host's, those that packages registered, and
 // those of the process.
 func (e *Exporter) Write(w io.Writer) {
 	e.writeHost(w)
-	for _, line := range e.parts.Book.Services(time.Now()) {
+	for _, line := range e.parts.Backlog.Services(time.Now()) {
 		writeBacklog(w, line)
 	}
 	for _, view := range e.parts.Views.All() {
--- a/entry/prometheus/prometheus_test.go
+++ b/entry/prometheus/prometheus_test.go
@@ -29,8 +29,8 @@
 	log.Write(&decision.Decision{Kind: decision.Route, Service: "orders", Rule: "rules:1:1", Outcome: "answer"})
 
 	var out bytes.Buffer
-	prometheus.New(prometheus.Parts{
-		Table: rules.NewTable(), Views: views, Book: book, Decisions: log, State: func() string { return "ready" },
+	prometheus.New(prometheus.Config{
+		Table: rules.NewTable(), Views: views, Backlog: book, Decisions: log, State: func() string { return "ready" },
 	}).Write(&out)
 	text := out.String()
 	must.StrNotContains(t, text, "invented")
--- a/entry/registry/membership.go
+++ b/entry/registry/membership.go
@@ -21,8 +21,8 @@
 	active atomic.Int32
 }
 
-// Active takes the number of entry hosts that serve one name.
-func (m *Membership) Active(hosts int) { m.active.Store(int32(hosts)) }
+// SetActiveHosts takes the number of entry hosts that serve one name.
+func (m *Membership) SetActiveHosts(hosts int) { m.active.Store(int32(hosts)) }
 
 // ActiveHosts returns the number of entry hosts that serve one name, at least
 // this one.
@@ -33,16 +33,16 @@
 	return &Membership{registry: registry, suspects: suspects}
 }
 
-// Known returns the revision of the newest record that was taken.
-func (m *Membership) Known() uint64 {
+// Revision returns the revision of the newest record that was taken.
+func (m *Membership) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.known
 }
 
-// Take takes records up to a revision. Control hosts apply the same log, so
+// Apply takes records up to a revision. Control hosts apply the same log, so
 // what one of them told up to a revision is all that any of them knew.
-func (m *Membership) Take(instances []*wire.Instance, revision uint64) {
+func (m *Membership) Apply(instances []*wire.Instance, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if revision <= m.known {
@@ -54,7 +54,7 @@
 			continue
 		}
 		if one.GetGone() {
-			changes = append(changes, Lost(one.GetId()))
+			changes = append(changes, Removed(one.GetId()))
 			continue
 		}
 		changes = append(changes, Announced(one))
@@ -63,8 +63,8 @@
 	m.registry.Update(changes)
 }
 
-// Suspect takes fingerprints of requests that cost instances.
-func (m *Membership) Suspect(suspects []*wire.Suspect) {
+// AddSuspects takes fingerprints of requests that cost instances.
+func (m *Membership) AddSuspects(suspects []*wire.Suspect) {
 	if len(suspects) > 0 {
 		m.suspects.Merge(suspects, time.Now())
 	}
--- a/entry/registry/membership_test.go
+++ b/entry/registry/membership_test.go
@@ -16,11 +16,11 @@
 	record := func(id string, revision uint64, gone bool) *wire.Instance {
 		return &wire.Instance{Id: id, Service: "shop", Address: "10.0.0.1:80", Incarnation: 1, Revision: revision, Gone: gone}
 	}
-	m.Take([]*wire.Instance{record("a", 1, false), record("b", 2, false)}, 2)
+	m.Apply([]*wire.Instance{record("a", 1, false), record("b", 2, false)}, 2)
 	must.Len(t, 2, views.Load("shop").Members())
-	m.Take([]*wire.Instance{record("a", 3, true)}, 3)
+	m.Apply([]*wire.Instance{record("a", 3, true)}, 3)
 	must.Len(t, 1, views.Load("shop").Members())
-	m.Take([]*wire.Instance{record("a", 1, false)}, 2) // of a control host that is behind
+	m.Apply([]*wire.Instance{record("a", 1, false)}, 2) // of a control host that is behind
 	must.Len(t, 1, views.Load("shop").Members())
-	must.Eq(t, 3, m.Known())
+	must.Eq(t, 3, m.Revision())
 }
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -31,8 +31,8 @@
 	return Change{id: instance.ID(message.GetId()), message: message}
 }
 
-// Lost returns the change of an instance that is not to be used any more.
-func Lost(id string) Change { return Change{id: instance.ID(id)} }
+// Removed returns the change of an instance that is not to be used any more.
+func Removed(id string) Change { return Change{id: instance.ID(id)} }
 
 // Registry holds the instances that this host may use.
 type Registry struct {
--- a/entry/route/route_test.go
+++ b/entry/route/route_test.go
@@ -188,7 +188,7 @@
 	for _, line := range lines[:3] {
 		if line.Instance == string(first.Instance().ID()) {
 			must.Eq(t, 2, line.Reported)
-			must.Eq(t, int64(9*time.Millisecond), line.KnownAgeNs)
+			must.Eq(t, int64(9*time.Millisecond), line.ReportAgeNs)
 			must.Eq(t, int64(7*time.Millisecond), line.LatencyNs)
 		}
 	}
--- a/entry/route/ticket.go
+++ b/entry/route/ticket.go
@@ -74,10 +74,10 @@
 func (c Candidate) explain() decision.Candidate {
 	line := decision.Candidate{
 		Instance: string(c.ID), State: c.State.String(), InFlight: c.InFlight,
-		Score: c.Score, Speed: c.Slowdown, LatencyNs: int64(c.Latency), LatencyAgeNs: int64(max(c.LatencyAge, 0)),
+		Score: c.Score, Slowdown: c.Slowdown, LatencyNs: int64(c.Latency), LatencyAgeNs: int64(max(c.LatencyAge, 0)),
 	}
 	if c.ReportAge >= 0 {
-		line.Reported, line.KnownAgeNs = c.Reported, int64(c.ReportAge)
+		line.Reported, line.ReportAgeNs = c.Reported, int64(c.ReportAge)
 	}
 	switch {
 	case c.State == Ejected || c.State == Draining || c.State == Excluded:
--- a/entry/rules/rules.go
+++ b/entry/rules/rules.go
@@ -73,9 +73,9 @@
 	return 0
 }
 
-// Learned reports whether a quorum confirmed a version since this host
+// Confirmed reports whether a quorum confirmed a version since this host
 // started. Until then the host does not know which version is in force.
-func (t *Table) Learned() bool { return t.Current().Number() > 0 && t.confirmedAt.Load() != nil }
+func (t *Table) Confirmed() bool { return t.Current().Number() > 0 && t.confirmedAt.Load() != nil }
 
 // Confirm records that a quorum confirmed a version at a time. A version that
 // is older than the one in force says nothing.
--- a/snipebeam/command/backlog.go
+++ b/snipebeam/command/backlog.go
@@ -40,12 +40,12 @@
 		return err
 	}
 	var lines []*wire.ServiceBacklog
-	for _, answer := range gathered.Answers {
+	for _, answer := range gathered.Responses {
 		lines = append(lines, c.wanted(answer.Value.GetServices())...)
 	}
 	view := backlogView{
-		AsOf: time.Now().Format(time.RFC3339), Heard: len(gathered.Answers), Unheard: append([]string{}, gathered.Unheard...),
-		Services: entry.Combine(lines, len(gathered.Unheard) > 0),
+		AsOf: time.Now().Format(time.RFC3339), Heard: len(gathered.Responses), Unheard: append([]string{}, gathered.Failed...),
+		Services: entry.MergeBacklogs(lines, len(gathered.Failed) > 0),
 	}
 	if err := c.own(ctx, g, view.Services); err != nil {
 		return err
--- a/snipebeam/command/claim.go
+++ b/snipebeam/command/claim.go
@@ -91,7 +91,7 @@
 		return errors.Wrap(err, "resolve claim")
 	}
 	if !r.GetResolved() {
-		return &Refusal{text: "refused: " + r.GetRefusal() + " (look again with \"snipebeam claim show\")"}
+		return &RefusedError{text: "refused: " + r.GetRefusal() + " (look again with \"snipebeam claim show\")"}
 	}
 	out := g.out()
 	out.Line("recorded: %s", resolution)
--- a/snipebeam/command/diff.go
+++ b/snipebeam/command/diff.go
@@ -42,7 +42,7 @@
 		Difference string `json:"difference"`
 	}{changes}, nil)
 	if err == nil && c.ExitCode && changes != "" {
-		return &Differs{text: newName + " differs from " + oldName}
+		return &DifferenceError{text: newName + " differs from " + oldName}
 	}
 	return err
 }
--- a/snipebeam/command/drain.go
+++ b/snipebeam/command/drain.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	response, err := entry.Ask(ctx, caller, host, func(ctx context.Context, h wire.Entry) (*wire.DrainResponse, error) {
+	response, err := entry.Call(ctx, caller, host, func(ctx context.Context, h wire.Entry) (*wire.DrainResponse, error) {
 		return h.Drain(ctx, &wire.DrainRequest{Drain: start})
 	})
 	return response, errors.Wrapf(err, "drain %s", name)
--- a/snipebeam/command/exit.go
+++ b/snipebeam/command/exit.go
@@ -18,37 +18,37 @@
 	ExitDiffers  = 5 // diff --exit-code or fmt --check found a difference
 )
 
-// Refusal is the error of a change that was refused.
-type Refusal struct{ text string }
+// RefusedError is the error of a change that was refused.
+type RefusedError struct{ text string }
 
 // Error returns why the change was refused and what to do next.
-func (r *Refusal) Error() string { return r.text }
+func (r *RefusedError) Error() string { return r.text }
 
-// Stale is the error of an answer that was shown but may be out of date.
-type Stale struct{ text string }
+// StaleError is the error of an answer that was shown but may be out of date.
+type StaleError struct{ text string }
 
 // Error returns why the answer may be out of date.
-func (s *Stale) Error() string { return s.text }
+func (s *StaleError) Error() string { return s.text }
 
-// Differs is the error of a comparison that found a difference.
-type Differs struct{ text string }
+// DifferenceError is the error of a comparison that found a difference.
+type DifferenceError struct{ text string }
 
 // Error returns what differs.
-func (d *Differs) Error() string { return d.text }
+func (d *DifferenceError) Error() string { return d.text }
 
 // staleAnswer returns the error of an answer that no quorum confirmed.
 func staleAnswer(asOf int64) error {
 	age := time.Since(time.Unix(0, asOf)).Round(time.Millisecond)
-	return &Stale{text: fmt.Sprintf("no quorum of control hosts confirmed this; it is what one of them knew %s ago (see the members in \"snipebeam status\")", age)}
+	return &StaleError{text: fmt.Sprintf("no quorum of control hosts confirmed this; it is what one of them knew %s ago (see the members in \"snipebeam status\")", age)}
 }
 
 // ExitCode returns the exit code for an error.
 func ExitCode(err error) int {
 	var (
 		findings *finding.Failure
-		refusal  *Refusal
-		stale    *Stale
-		differs  *Differs
+		refusal  *RefusedError
+		stale    *StaleError
+		differs  *DifferenceError
 	)
 	switch {
 	case err == nil:
--- a/snipebeam/command/explain.go
+++ b/snipebeam/command/explain.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	for _, answer := range gathered.Answers {
+	for _, answer := range gathered.Responses {
 		if req.GetDecisionId() == "" || answer.Value.GetDecisionJson() != "" {
 			return show(g, answer.Value)
 		}
--- a/snipebeam/command/fmt.go
+++ b/snipebeam/command/fmt.go
@@ -25,7 +25,7 @@
 		differs = differs || changed
 	}
 	if c.Check && differs {
-		return &Differs{text: "not in canonical form (run \"snipebeam fmt\" on it)"}
+		return &DifferenceError{text: "not in canonical form (run \"snipebeam fmt\" on it)"}
 	}
 	return nil
 }
--- a/snipebeam/command/group.go
+++ b/snipebeam/command/group.go
@@ -64,7 +64,7 @@
 		return errors.Wrap(err, "change the control group")
 	}
 	if !r.GetDone() {
-		return &Refusal{text: "refused: " + r.GetRefusal() + " (look at the members in \"snipebeam status\"; one change at a time)"}
+		return &RefusedError{text: "refused: " + r.GetRefusal() + " (look at the members in \"snipebeam status\"; one change at a time)"}
 	}
 	rows := terminal.NewTable("member", "address", "role", "identity")
 	views := []memberView{}
@@ -89,13 +89,13 @@
 	defer cancel()
 	r, err := client.Transfer(ctx, c.To)
 	if control.Refused(err) {
-		return &Refusal{text: "refused: " + err.Error()}
+		return &RefusedError{text: "refused: " + err.Error()}
 	}
 	if err != nil {
 		return errors.Wrap(err, "hand leadership over")
 	}
 	if !r.GetDone() {
-		return &Refusal{text: "not handed over; the leader is " + nobody(r.GetLeader()) + " (the member must vote and have caught up)"}
+		return &RefusedError{text: "not handed over; the leader is " + nobody(r.GetLeader()) + " (the member must vote and have caught up)"}
 	}
 	out := g.out()
 	out.Line("the leader is %s", r.GetLeader())
--- a/snipebeam/command/instances.go
+++ b/snipebeam/command/instances.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	instances := entry.Join(gathered.Answers, len(gathered.Unheard) > 0)
+	instances := entry.MergeInstances(gathered.Responses, len(gathered.Failed) > 0)
 	rows := terminal.NewTable("instance", "service", "zone", "state", "in flight", "slots", "reported", "report age", "latency", "errors/s", "seen by").
 		Empty("no instance has announced itself")
 	for _, i := range instances {
@@ -46,10 +46,10 @@
 type gatheredAnswers[T any] struct{ entry.Gathered[T] }
 
 func (a gatheredAnswers[T]) problem() error {
-	if len(a.Unheard) == 0 {
+	if len(a.Failed) == 0 {
 		return nil
 	}
-	return &Stale{text: fmt.Sprintf("%d hosts unheard: %v; counts are at least what is shown (last error: %v)", len(a.Unheard), a.Unheard, a.Err)}
+	return &StaleError{text: fmt.Sprintf("%d hosts unheard: %v; counts are at least what is shown (last error: %v)", len(a.Failed), a.Failed, a.Err)}
 }
 
 // gather asks every entry host, or the named one.
--- a/snipebeam/command/loglevel.go
+++ b/snipebeam/command/loglevel.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		return err
 	}
-	if len(gathered.Answers) == 0 {
+	if len(gathered.Responses) == 0 {
 		return errors.Wrap(gathered.Err, "change the log level")
 	}
 	changed := []string{}
-	for _, answer := range gathered.Answers {
+	for _, answer := range gathered.Responses {
 		changed = append(changed, answer.Host)
 	}
 	out := g.out()
--- a/snipebeam/command/status.go
+++ b/snipebeam/command/status.go
@@ -92,7 +92,7 @@
 	out.Line("%s, leader %s, term %d, commit index %d; as of %s, from %s", quorum, nobody(s.GetLeader()), s.GetTerm(), s.GetCommitIndex(), when(s.GetAsOf()), s.GetServedBy())
 	unknown := fmt.Sprint(s.GetClaimsUnknown())
 	if s.GetClaimsUnknown() > 0 {
-		unknown = out.Attention(unknown)
+		unknown = out.Warning(unknown)
 	}
 	out.Line("claims: %d outstanding, %s unknown", s.GetClaimsOutstanding(), unknown)
 	for _, m := range s.GetMembers() {
--- a/snipebeam/command/submitting.go
+++ b/snipebeam/command/submitting.go
@@ -72,7 +72,7 @@
 func (s submitting) identify(client *control.Client, g *Globals, p proposal) (*submission.Pending, error) {
 	folder := s.StateDir
 	if folder == "" {
-		folder = submission.Folder()
+		folder = submission.DefaultFolder()
 	}
 	content := fmt.Sprintf("%d\x00%s", p.rollbackOf, p.text)
 	if s.SubmissionID == "" {
@@ -107,8 +107,8 @@
 
 // unanswered says what to do when no answer came.
 func (s submitting) unanswered(pending *submission.Pending, err error) error {
-	var failure *control.Failure
-	if errors.As(err, &failure) && !failure.Uncertain() {
+	var failure *control.CallError
+	if errors.As(err, &failure) && !failure.OutcomeUnknown() {
 		if doneErr := pending.Done(); doneErr != nil {
 			return doneErr
 		}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	return &Refusal{text: fmt.Sprintf("refused: %s (put the changes of version %d into your file, then submit it with --base %d)",
+	return &RefusedError{text: fmt.Sprintf("refused: %s (put the changes of version %d into your file, then submit it with --base %d)",
 		response.GetRefusal(), winner.GetNumber(), winner.GetNumber())}
 }
 
@@ -172,7 +172,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return &Stale{text: fmt.Sprintf("version %d is accepted, and after %s: %v (look at \"snipebeam status\")", number, s.WaitLimit, err)}
+			return &StaleError{text: fmt.Sprintf("version %d is accepted, and after %s: %v (look at \"snipebeam status\")", number, s.WaitLimit, err)}
 		case <-time.After(waitPoll):
 		}
 	}
@@ -199,5 +199,5 @@
 	if len(names) == 0 {
 		return nil
 	}
-	return &Stale{text: fmt.Sprintf("%d hosts unheard: %v (each takes the newest version before it serves again)", len(names), names)}
+	return &StaleError{text: fmt.Sprintf("%d hosts unheard: %v (each takes the newest version before it serves again)", len(names), names)}
 }
--- a/snipebeam/control/client.go
+++ b/snipebeam/control/client.go
@@ -72,7 +72,7 @@
 func try[T any](ctx context.Context, c *Client, good func(T) bool, call func(context.Context, host) (T, error)) (T, error) {
 	var first T
 	answered := false
-	failure := &Failure{}
+	failure := &CallError{}
 	for _, h := range c.hosts {
 		response, err := once(ctx, c.attempt(), h, call)
 		if err == nil && good(response) {
@@ -111,7 +111,7 @@
 // Refused reports whether a control host answered that a call cannot be done
 // as things stand.
 func Refused(err error) bool {
-	var failure *Failure
+	var failure *CallError
 	if !errors.As(err, &failure) {
 		return false
 	}
@@ -124,19 +124,19 @@
 	return false
 }
 
-// Failure is the error of a call that no control host answered.
-type Failure struct {
+// CallError is the error of a call that no control host answered.
+type CallError struct {
 	hosts []string
 	errs  []error
 }
 
-func (f *Failure) add(address string, err error) {
+func (f *CallError) add(address string, err error) {
 	f.hosts = append(f.hosts, address)
 	f.errs = append(f.errs, err)
 }
 
 // Error lists what each host said, and what to do next.
-func (f *Failure) Error() string {
+func (f *CallError) Error() string {
 	if len(f.errs) == 0 {
 		return "no control host is named (use --control or SNIPEBEAM_CONTROL)"
 	}
@@ -147,7 +147,7 @@
 	return strings.Join(parts, "; ") + f.hint()
 }
 
-func (f *Failure) hint() string {
+func (f *CallError) hint() string {
 	var t twirp.Error
 	if !errors.As(f.errs[len(f.errs)-1], &t) {
 		return " (name other control hosts with --control)"
@@ -167,11 +167,11 @@
 }
 
 // Unwrap returns what the hosts said.
-func (f *Failure) Unwrap() []error { return f.errs }
+func (f *CallError) Unwrap() []error { return f.errs }
 
-// Uncertain reports whether the call may have been carried out although no
+// OutcomeUnknown reports whether the call may have been carried out although no
 // answer came.
-func (f *Failure) Uncertain() bool {
+func (f *CallError) OutcomeUnknown() bool {
 	for _, err := range f.errs {
 		if !final(err) {
 			return true
--- a/snipebeam/entry/backlog.go
+++ b/snipebeam/entry/backlog.go
@@ -27,8 +27,8 @@
 
 type backlogKey struct{ service, instance string }
 
-// Combine adds up the lines of several hosts.
-func Combine(lines []*wire.ServiceBacklog, atLeast bool) []Backlog {
+// MergeBacklogs adds up the lines of several hosts.
+func MergeBacklogs(lines []*wire.ServiceBacklog, atLeast bool) []Backlog {
 	sums := map[backlogKey]*Backlog{}
 	for _, line := range lines {
 		k := backlogKey{line.GetService(), line.GetInstance()}
--- a/snipebeam/entry/gather.go
+++ b/snipebeam/entry/gather.go
@@ -36,8 +36,8 @@
 	return all
 }
 
-// Answer is what one host said.
-type Answer[T any] struct {
+// Response is what one host said.
+type Response[T any] struct {
 	Host  string
 	Value T
 }
@@ -45,9 +45,9 @@
 // Gathered holds the answers of the hosts that were heard, in the order in
 // which they were asked.
 type Gathered[T any] struct {
-	Answers []Answer[T]
-	Unheard []string
-	Err     error // what the last unheard host said
+	Responses []Response[T]
+	Failed    []string
+	Err       error // what the last unheard host said
 }
 
 // Gather asks all hosts at once.
@@ -60,24 +60,24 @@
 		open <- struct{}{}
 		group.Go(func() {
 			defer func() { <-open }()
-			values[n], errs[n] = Ask(ctx, client, host, call)
+			values[n], errs[n] = Call(ctx, client, host, call)
 		})
 	}
 	group.Wait()
 	var g Gathered[T]
 	for n, host := range hosts {
 		if errs[n] != nil {
-			g.Unheard = append(g.Unheard, host.GetName())
+			g.Failed = append(g.Failed, host.GetName())
 			g.Err = errs[n]
 			continue
 		}
-		g.Answers = append(g.Answers, Answer[T]{Host: host.GetName(), Value: values[n]})
+		g.Responses = append(g.Responses, Response[T]{Host: host.GetName(), Value: values[n]})
 	}
 	return g
 }
 
-// Ask asks one host.
-func Ask[T any](ctx context.Context, client *http.Client, host *wire.HostReport, call func(context.Context, wire.Entry) (T, error)) (T, error) {
+// Call asks one host.
+func Call[T any](ctx context.Context, client *http.Client, host *wire.HostReport, call func(context.Context, wire.Entry) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
 	return call(ctx, wire.NewEntryProtobufClient("http://"+host.GetPeersAddress(), client))
--- a/snipebeam/entry/instances.go
+++ b/snipebeam/entry/instances.go
@@ -27,8 +27,8 @@
 // badness orders the states of an instance.
 var badness = map[string]int{"ready": 0, "cold": 1, "draining": 2, "ejected": 3, "silent": 4}
 
-// Join puts together what several hosts see of each instance.
-func Join(answers []Answer[*wire.InstancesResponse], atLeast bool) []Instance {
+// MergeInstances puts together what several hosts see of each instance.
+func MergeInstances(answers []Response[*wire.InstancesResponse], atLeast bool) []Instance {
 	byID := map[string]*Instance{}
 	for _, answer := range answers {
 		for _, view := range answer.Value.GetInstances() {
--- a/snipebeam/submission/submission.go
+++ b/snipebeam/submission/submission.go
@@ -25,16 +25,16 @@
 // Pending is a submission whose result is not known yet.
 type Pending struct {
 	path string
-	// Again reports that it was sent before and its answer was lost.
-	Again bool `json:"-"`
+	// Retry reports that it was sent before and its answer was lost.
+	Retry bool `json:"-"`
 
 	ID   string    `json:"submissionId"`
 	Base uint64    `json:"baseVersion"`
 	At   time.Time `json:"at"`
 }
 
-// Folder returns where submissions are kept by default.
-func Folder() string {
+// DefaultFolder returns where submissions are kept by default.
+func DefaultFolder() string {
 	cache, err := os.UserCacheDir()
 	if err != nil {
 		cache = os.TempDir()
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read pending submission")
 	}
-	p := &Pending{path: path, Again: true}
+	p := &Pending{path: path, Retry: true}
 	if err := json.Unmarshal(data, p); err != nil || p.ID == "" {
 		return nil, errors.Errorf("the pending submission in %s cannot be read; remove it if the change is not in \"snipebeam history\"", path)
 	}
--- a/snipebeam/terminal/terminal.go
+++ b/snipebeam/terminal/terminal.go
@@ -85,8 +85,8 @@
 // Bad marks a text that needs attention.
 func (o *Output) Bad(s string) string { return o.paint(text.FgRed, s) }
 
-// Attention marks a text that may need attention.
-func (o *Output) Attention(s string) string { return o.paint(text.FgYellow, s) }
+// Warning marks a text that may need attention.
+func (o *Output) Warning(s string) string { return o.paint(text.FgYellow, s) }
 
 // State marks the state of a host or an instance.
 func (o *Output) State(s string) string {
@@ -96,7 +96,7 @@
 	case "silent", "ejected", "suspect", "dead":
 		return o.Bad(s)
 	default:
-		return o.Attention(s)
+		return o.Warning(s)
 	}
 }
 
--- a/standin/callcommand.go
+++ b/standin/callcommand.go
@@ -30,8 +30,8 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	cfg := caller.Config{
-		Platforms: c.Entries, Service: c.Service, Zone: c.Zone, Method: c.Method, Path: c.Path,
-		Rate: c.Rate, Duration: c.Duration, BodyBytes: c.Body, Once: c.Once,
+		EntryAddresses: c.Entries, Service: c.Service, Zone: c.Zone, Method: c.Method, Path: c.Path,
+		Rate: c.Rate, Duration: c.Duration, BodyBytes: c.Body, IdempotencyHeader: c.Once,
 	}
 	if !c.Quiet {
 		cfg.Progress = func(elapsed time.Duration, soFar caller.Summary) {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -28,29 +28,29 @@
 
 // Config describes a load.
 type Config struct {
-	Platforms []string // platform listeners of entry hosts
-	Service   string
-	Zone      string
-	Method    string
-	Path      string
-	Rate      float64 // requests a second, arriving at random
-	Duration  time.Duration
-	BodyBytes int
-	Once      string                                     // header that carries a fresh idempotency key
-	MaxOpen   int                                        // most requests in flight
-	Progress  func(elapsed time.Duration, soFar Summary) // called each second, if set
+	EntryAddresses    []string // platform listeners of entry hosts
+	Service           string
+	Zone              string
+	Method            string
+	Path              string
+	Rate              float64 // requests a second, arriving at random
+	Duration          time.Duration
+	BodyBytes         int
+	IdempotencyHeader string                                     // header that carries a fresh idempotency key
+	MaxInFlight       int                                        // most requests in flight
+	Progress          func(elapsed time.Duration, soFar Summary) // called each second, if set
 }
 
 // Summary counts outcomes and holds latencies in milliseconds.
 type Summary struct {
-	Outcomes map[string]int `json:"outcomes"`
-	Sent     int            `json:"sent"`
-	P50Ms    float64        `json:"p50Ms"`
-	P90Ms    float64        `json:"p90Ms"`
-	P99Ms    float64        `json:"p99Ms"`
-	P999Ms   float64        `json:"p999Ms"`
-	MaxMs    float64        `json:"maxMs"`
-	Wrong    int            `json:"wrongAnswers"`
+	Outcomes       map[string]int `json:"outcomes"`
+	Sent           int            `json:"sent"`
+	P50Ms          float64        `json:"p50Ms"`
+	P90Ms          float64        `json:"p90Ms"`
+	P99Ms          float64        `json:"p99Ms"`
+	P999Ms         float64        `json:"p999Ms"`
+	MaxMs          float64        `json:"maxMs"`
+	WrongResponses int            `json:"wrongAnswers"`
 }
 
 type addressAnswer struct {
@@ -84,12 +84,12 @@
 
 // Run loads a service until the duration or the context ends.
 func Run(ctx context.Context, cfg Config) Summary {
-	if cfg.MaxOpen == 0 {
-		cfg.MaxOpen = defaultMaxOpen
+	if cfg.MaxInFlight == 0 {
+		cfg.MaxInFlight = defaultMaxOpen
 	}
 	l := &loader{
 		cfg: cfg, histogram: hdrhistogram.New(1, highestMicros, significant),
-		client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxOpen}},
+		client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxInFlight}},
 	}
 	l.summary.Outcomes = map[string]int{}
 	ctx, cancel := context.WithTimeout(ctx, cfg.Duration)
@@ -122,7 +122,7 @@
 func (l *loader) load(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	open := make(chan struct{}, l.cfg.MaxOpen)
+	open := make(chan struct{}, l.cfg.MaxInFlight)
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(rand.ExpFloat64() / l.cfg.Rate * float64(time.Second)))
@@ -148,7 +148,7 @@
 	l.summary.Sent++
 	l.summary.Outcomes[result]++
 	if wrong {
-		l.summary.Wrong++
+		l.summary.WrongResponses++
 	}
 	_ = l.histogram.RecordValue(min(took.Microseconds(), highestMicros))
 }
@@ -167,8 +167,8 @@
 	id := uuid.NewString()
 	req.Host = l.cfg.Service
 	req.Header.Set("Request-Id", id)
-	if l.cfg.Once != "" {
-		req.Header.Set(l.cfg.Once, id)
+	if l.cfg.IdempotencyHeader != "" {
+		req.Header.Set(l.cfg.IdempotencyHeader, id)
 	}
 	response, err := l.client.Do(req)
 	if notConnected(err) && l.avoid(address) {
@@ -230,8 +230,8 @@
 }
 
 func (l *loader) ask() {
-	for _, n := range rand.Perm(len(l.cfg.Platforms)) {
-		answer, err := l.askOne(l.cfg.Platforms[n])
+	for _, n := range rand.Perm(len(l.cfg.EntryAddresses)) {
+		answer, err := l.askOne(l.cfg.EntryAddresses[n])
 		if err != nil || len(answer.Addresses) == 0 {
 			continue
 		}
@@ -276,5 +276,5 @@
 		outcomes = append(outcomes, fmt.Sprintf("%s %d", name, s.Outcomes[name]))
 	}
 	return fmt.Sprintf("sent %d: %s, wrong answers %d; p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, p99.9 %.1f ms, max %.1f ms",
-		s.Sent, strings.Join(outcomes, ", "), s.Wrong, s.P50Ms, s.P90Ms, s.P99Ms, s.P999Ms, s.MaxMs)
+		s.Sent, strings.Join(outcomes, ", "), s.WrongResponses, s.P50Ms, s.P90Ms, s.P99Ms, s.P999Ms, s.MaxMs)
 }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -44,7 +44,7 @@
 	server := httptest.NewServer(entry)
 	defer server.Close()
 	s := caller.Run(t.Context(), caller.Config{
-		Platforms: []string{server.Listener.Addr().String()}, Service: "a", Method: http.MethodGet, Path: "/",
+		EntryAddresses: []string{server.Listener.Addr().String()}, Service: "a", Method: http.MethodGet, Path: "/",
 		Rate: 400, Duration: 200 * time.Millisecond,
 	})
 	must.Positive(t, s.Sent)
@@ -52,5 +52,5 @@
 	must.Eq(t, 1, entry.asked.Load())
 	must.Eq(t, s.Sent, s.Outcomes["answer"]+s.Outcomes["not-run"])
 	must.Eq(t, (s.Sent+3)/4, s.Outcomes["not-run"])
-	must.Eq(t, (s.Sent+2)/4, s.Wrong)
+	must.Eq(t, (s.Sent+2)/4, s.WrongResponses)
 }
--- a/standin/upstream/fault.go
+++ b/standin/upstream/fault.go
@@ -17,7 +17,7 @@
 	FailFast     bool    `json:"failFast"`     // answer 500 at once
 	Crash        bool    `json:"crash"`        // end the process as soon as this is answered
 	CrashOn      string  `json:"crashOn"`      // end the process when a request with this path starts
-	Lie          *int    `json:"lie"`          // reported load, whatever the real one
+	LoadOverride *int    `json:"lie"`          // reported load, whatever the real one
 	FrozenReport bool    `json:"frozenReport"` // go on reporting the load of the moment of the switch
 	Silent       bool    `json:"silent"`       // accept requests and never answer, and announce nothing
 	SilentLinks  bool    `json:"silentLinks"`  // never answer on connections that are open at the switch
@@ -57,8 +57,8 @@
 // load returns the load that is reported in place of the real one.
 func (f *faultState) load(actual int) int {
 	switch {
-	case f.Lie != nil:
-		return *f.Lie
+	case f.LoadOverride != nil:
+		return *f.LoadOverride
 	case f.FrozenReport:
 		return f.frozenLoad
 	default:
@@ -90,7 +90,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Set(faults)
+	s.SetFaults(faults)
 	w.WriteHeader(http.StatusNoContent)
 	if faults.Crash {
 		_ = http.NewResponseController(w).Flush()
@@ -98,8 +98,8 @@
 	}
 }
 
-// Set switches faults.
-func (s *Server) Set(faults Faults) {
+// SetFaults switches faults.
+func (s *Server) SetFaults(faults Faults) {
 	s.faults.current.Store(&faultState{Faults: faults, switchedAt: time.Now(), frozenLoad: s.queue.Load()})
 }
 
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -46,15 +46,15 @@
 
 // Config describes an instance.
 type Config struct {
-	ID         string
-	Service    string
-	Slots      int
-	Work       time.Duration // mean time of a request in a slot
-	Sigma      float64       // of the lognormal time, 0 for constant
-	ProbeCost  time.Duration // time that a probe takes in a slot
-	OnceHeader string
-	MaxQueue   int    // requests that may wait before it sheds, 0 for any number
-	Crash      func() // ends the process unless set
+	ID                string
+	Service           string
+	Slots             int
+	ServiceTime       time.Duration // mean time of a request in a slot
+	Sigma             float64       // of the lognormal time, 0 for constant
+	ProbeCost         time.Duration // time that a probe takes in a slot
+	IdempotencyHeader string
+	MaxQueue          int    // requests that may wait before it sheds, 0 for any number
+	Crash             func() // ends the process unless set
 }
 
 // Server is the instance.
@@ -88,8 +88,8 @@
 // Silent reports whether the instance was told to say nothing.
 func (s *Server) Silent() bool { return s.faults.load().Silent }
 
-// Runs returns how often each idempotency key was run.
-func (s *Server) Runs() map[string]int { return s.runs.Counts() }
+// Executions returns how often each idempotency key was run.
+func (s *Server) Executions() map[string]int { return s.runs.Counts() }
 
 func (s *Server) crash() {
 	if s.cfg.Crash != nil {
@@ -176,7 +176,7 @@
 
 // execute does the work of a request that has a slot.
 func (s *Server) execute(ctx context.Context, r *http.Request, faults *faultState) (int64, uint64, error) {
-	s.runs.count(r.Header.Get(s.cfg.OnceHeader))
+	s.runs.count(r.Header.Get(s.cfg.IdempotencyHeader))
 	if faults.CrashOn != "" && r.URL.Path == faults.CrashOn {
 		s.crash()
 	}
@@ -203,7 +203,7 @@
 }
 
 func (s *Server) duration(faults *faultState) time.Duration {
-	mean := float64(s.cfg.Work)
+	mean := float64(s.cfg.ServiceTime)
 	if s.cfg.Sigma > 0 {
 		mean *= math.Exp(s.cfg.Sigma*rand.NormFloat64() - s.cfg.Sigma*s.cfg.Sigma/2)
 	}
--- a/standin/upstream/server_test.go
+++ b/standin/upstream/server_test.go
@@ -17,8 +17,8 @@
 
 func newServer(crash func()) *upstream.Server {
 	return upstream.New(upstream.Config{
-		ID: "a-1", Service: "a", Slots: 2, Work: 10 * time.Millisecond, ProbeCost: 6 * time.Millisecond,
-		OnceHeader: onceHeader, MaxQueue: 3, Crash: crash,
+		ID: "a-1", Service: "a", Slots: 2, ServiceTime: 10 * time.Millisecond, ProbeCost: 6 * time.Millisecond,
+		IdempotencyHeader: onceHeader, MaxQueue: 3, Crash: crash,
 	})
 }
 
@@ -67,7 +67,7 @@
 		defer cancel()
 		_, took = call(ctx, s, "/", onceHeader, "gone")
 		must.Eq(t, 3*time.Millisecond, took)
-		must.Eq(t, map[string]int{"late": 1}, s.Runs())
+		must.Eq(t, map[string]int{"late": 1}, s.Executions())
 		time.Sleep(time.Second)
 	})
 }
@@ -77,26 +77,26 @@
 		crashes := 0
 		s := newServer(func() { crashes++ })
 		lie := 7
-		s.Set(upstream.Faults{Slowdown: 3, Lie: &lie})
+		s.SetFaults(upstream.Faults{Slowdown: 3, LoadOverride: &lie})
 		w, took := call(t.Context(), s, "/")
 		must.Eq(t, 30*time.Millisecond, took)
 		must.Eq(t, "7", w.Header().Get("Snipebeam-Load"))
-		s.Set(upstream.Faults{ColdSeconds: 10})
+		s.SetFaults(upstream.Faults{ColdSeconds: 10})
 		must.True(t, s.Cold())
 		_, took = call(t.Context(), s, "/")
 		must.Eq(t, 50*time.Millisecond, took)
 		time.Sleep(10 * time.Second)
 		must.False(t, s.Cold())
-		s.Set(upstream.Faults{Shed: true, Draining: true})
+		s.SetFaults(upstream.Faults{Shed: true, Draining: true})
 		w, _ = call(t.Context(), s, "/", onceHeader, "k")
 		must.Eq(t, "shed", w.Header().Get("Snipebeam-Not-Started"))
 		must.True(t, s.Draining())
-		s.Set(upstream.Faults{FailFast: true})
+		s.SetFaults(upstream.Faults{FailFast: true})
 		w, took = call(t.Context(), s, "/", onceHeader, "k")
 		must.Eq(t, http.StatusInternalServerError, w.Code)
 		must.Eq(t, 0, took)
-		must.MapEmpty(t, s.Runs())
-		s.Set(upstream.Faults{CrashOn: "/poison"})
+		must.MapEmpty(t, s.Executions())
+		s.SetFaults(upstream.Faults{CrashOn: "/poison"})
 		call(t.Context(), s, "/fine")
 		must.Eq(t, 0, crashes)
 		call(t.Context(), s, "/poison")
@@ -110,7 +110,7 @@
 func TestAFrozenReportKeepsTheOldLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(nil)
-		s.Set(upstream.Faults{FrozenReport: true})
+		s.SetFaults(upstream.Faults{FrozenReport: true})
 		for range 2 {
 			go call(t.Context(), s, "/")
 		}
@@ -126,7 +126,7 @@
 		s := newServer(nil)
 		old := upstream.ConnContext(t.Context(), nil)
 		time.Sleep(time.Millisecond)
-		s.Set(upstream.Faults{SilentLinks: true})
+		s.SetFaults(upstream.Faults{SilentLinks: true})
 		young := upstream.ConnContext(t.Context(), nil)
 		w, _ := call(young, s, "/")
 		must.Eq(t, http.StatusOK, w.Code)
--- a/standin/upstreamcommand.go
+++ b/standin/upstreamcommand.go
@@ -42,7 +42,7 @@
 		return errors.Wrap(err, "listen")
 	}
 	server := upstream.New(upstream.Config{
-		ID: c.ID, Service: c.Service, Slots: c.Slots, Work: c.Work, Sigma: c.Sigma, ProbeCost: c.ProbeCost, OnceHeader: c.Once, MaxQueue: c.MaxQueue,
+		ID: c.ID, Service: c.Service, Slots: c.Slots, ServiceTime: c.Work, Sigma: c.Sigma, ProbeCost: c.ProbeCost, IdempotencyHeader: c.Once, MaxQueue: c.MaxQueue,
 	})
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
