--- a/world/setting/field.go
+++ b/world/setting/field.go
@@ -9,17 +9,18 @@
 	"github.com/pkg/errors"
 )
 
-// entry is one key of a settings struct with the field that holds its value.
-type entry struct {
-	name    string // dotted
+// settingsKey is one key of a settings struct and the field that stores its
+// value.
+type settingsKey struct {
+	name    string // dotted, such as host.name
 	comment string
 	field   reflect.Value
 }
 
-// keysOf lists the keys of a pointer to a settings struct.
-func keysOf(into any) []entry { return appendKeys(nil, reflect.ValueOf(into).Elem(), "") }
+// keysOf lists the keys of the settings struct that into points to.
+func keysOf(into any) []settingsKey { return appendKeys(nil, reflect.ValueOf(into).Elem(), "") }
 
-func appendKeys(all []entry, section reflect.Value, prefix string) []entry {
+func appendKeys(all []settingsKey, section reflect.Value, prefix string) []settingsKey {
 	for n := range section.NumField() {
 		field := section.Type().Field(n)
 		name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
@@ -30,36 +31,39 @@
 			all = appendKeys(all, section.Field(n), prefix+name+".")
 			continue
 		}
-		all = append(all, entry{name: prefix + name, comment: field.Tag.Get("comment"), field: section.Field(n)})
+		all = append(all, settingsKey{name: prefix + name, comment: field.Tag.Get("comment"), field: section.Field(n)})
 	}
 	return all
 }
 
-func find(known []entry, name string) (entry, bool) {
-	for _, k := range known {
+func findKey(keys []settingsKey, name string) (settingsKey, bool) {
+	for _, k := range keys {
 		if k.name == name {
 			return k, true
 		}
 	}
-	return entry{}, false
+	return settingsKey{}, false
 }
 
-// assign stores a value that was read from TOML.
-func (k entry) assign(value any) error {
-	box := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: k.field.Type(), Tag: `toml:"v"`}}))
+// assign stores a value decoded from TOML. The value is encoded again and decoded
+// into the field's type, so that TOML's conversion rules apply.
+func (k settingsKey) assign(value any) error {
+	target := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: k.field.Type(), Tag: `toml:"v"`}}))
 	text, err := toml.Marshal(map[string]any{"v": value})
 	if err != nil {
-		return errors.Errorf("%v cannot be a value here", value)
+		return errors.Errorf("%v is not a valid value", value)
 	}
-	if err := toml.Unmarshal(text, box.Interface()); err != nil {
+	if err := toml.Unmarshal(text, target.Interface()); err != nil {
 		return errors.Errorf("%v is not %s", value, k.kind())
 	}
-	k.field.Set(box.Elem().Field(0))
+	k.field.Set(target.Elem().Field(0))
 	return nil
 }
 
-// assignText stores a value as it stands in an environment variable or flag.
-func (k entry) assignText(text string) error {
+// assignText stores a value in the form used in environment variables and flags:
+// strings without quotes, lists separated by commas or spaces, other values as
+// in TOML.
+func (k settingsKey) assignText(text string) error {
 	switch k.field.Kind() {
 	case reflect.String:
 		return k.assign(text)
@@ -74,10 +78,10 @@
 	}
 }
 
-func (k entry) kind() string {
+func (k settingsKey) kind() string {
 	switch k.field.Kind() {
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Slice:
@@ -94,15 +98,16 @@
 	value any
 }
 
-// leaves lists the values of a tree in order of their names. A table where a
-// key belongs, or the reverse, is a leaf of its own.
-func leaves(tree map[string]any, prefix string, known []entry) []leaf {
+// leaves lists the values of a tree sorted by name. A table where a value is
+// expected, or a value where a table is expected, is listed as one leaf, which
+// Document.set then reports.
+func leaves(tree map[string]any, prefix string, keys []settingsKey) []leaf {
 	var all []leaf
 	for name, value := range tree {
 		full := prefix + name
-		_, isKey := find(known, full)
-		if table, ok := value.(map[string]any); ok && !isKey && isSection(known, full) {
-			all = append(all, leaves(table, full+".", known)...)
+		_, isKey := findKey(keys, full)
+		if table, ok := value.(map[string]any); ok && !isKey && isSection(keys, full) {
+			all = append(all, leaves(table, full+".", keys)...)
 			continue
 		}
 		all = append(all, leaf{name: full, value: value})
@@ -111,8 +116,8 @@
 	return all
 }
 
-func isSection(known []entry, name string) bool {
-	for _, k := range known {
+func isSection(keys []settingsKey, name string) bool {
+	for _, k := range keys {
 		if strings.HasPrefix(k.name, name+".") {
 			return true
 		}
