--- a/control/command/command.go
+++ b/control/command/command.go
@@ -1,4 +1,4 @@
-// Package command implements the sub-commands of snipebeam-control that work on
+// Package command implements the subcommands of snipebeam-control that work on
 // a data folder: inspect, backup and restore.
 //
 // Usage:
--- a/control/directory/demand.go
+++ b/control/directory/demand.go
@@ -19,7 +19,8 @@
 )
 
 // demand is the load of the services on entry hosts, and the capacity of one
-// host: the lowest that any host reports. A capacity of 0 is unknown.
+// host: the lowest that any host reports, limited by WithHostRate. A capacity of 0
+// is unknown.
 type demand struct {
 	rates     map[string]*wire.ServiceRate
 	slots     map[string]int
@@ -29,12 +30,12 @@
 
 func (d *Directory) demand(entries []*wire.HostReport) demand {
 	all := demand{rates: map[string]*wire.ServiceRate{}, slots: d.slots(), hostRate: d.hostRate}
-	for _, one := range d.fleet.Rates(time.Now()) {
-		all.rates[one.GetService()] = one
+	for _, rate := range d.fleet.Rates(time.Now()) {
+		all.rates[rate.GetService()] = rate
 	}
-	for _, one := range entries {
-		all.hostRate = minCapacity(all.hostRate, one.GetRateCapacity())
-		all.hostBytes = minCapacity(all.hostBytes, one.GetByteCapacity())
+	for _, report := range entries {
+		all.hostRate = minCapacity(all.hostRate, report.GetRateCapacity())
+		all.hostBytes = minCapacity(all.hostBytes, report.GetByteCapacity())
 	}
 	return all
 }
--- a/control/disk/disk_test.go
+++ b/control/disk/disk_test.go
@@ -115,7 +115,7 @@
 	must.Eq(t, 51, saved.Entries[0].GetIndex())
 }
 
-func TestInstalledSnapshotVoidsTheLog(t *testing.T) {
+func TestInstalledSnapshotDiscardsTheLog(t *testing.T) {
 	folder := memory.New()
 	s := newStore(t, folder)
 	must.NoError(t, s.Write(nil, entries(1, 1, 2, 3, 4, 5, 6, 7, 8)))
@@ -126,7 +126,7 @@
 	must.Eq(t, "6/2", terms(saved))
 }
 
-func TestTornTailIsCutOff(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder := memory.New()
 		s := newStore(t, folder)
@@ -158,9 +158,9 @@
 		file := names[rapid.IntRange(0, len(names)-2).Draw(t, "segment")]
 		folder.Corrupt(file, rapid.IntRange(0, folder.Size(file)-1).Draw(t, "offset"))
 		_, _, err := disk.Open(folder)
-		var damage *disk.CorruptionError
-		must.True(t, errors.As(err, &damage), must.Sprintf("%v", err))
-		must.Eq(t, file, damage.File())
+		var corruption *disk.CorruptionError
+		must.True(t, errors.As(err, &corruption), must.Sprintf("%v", err))
+		must.Eq(t, file, corruption.File())
 	})
 }
 
@@ -174,9 +174,9 @@
 	must.NoError(t, s.Close())
 	folder.Corrupt(segments(t, folder)[0], before+20)
 	_, _, err := disk.Open(folder)
-	var damage *disk.CorruptionError
-	must.True(t, errors.As(err, &damage))
-	must.Eq(t, before, damage.Offset())
+	var corruption *disk.CorruptionError
+	must.True(t, errors.As(err, &corruption))
+	must.Eq(t, before, corruption.Offset())
 }
 
 func TestMissingFilesAreRefused(t *testing.T) {
@@ -205,7 +205,7 @@
 	must.ErrorContains(t, err, "snapshot-0000000000000007")
 }
 
-func TestFailureIsFinal(t *testing.T) {
+func TestStoreRejectsWritesAfterAFailure(t *testing.T) {
 	causes := map[string]func(*memory.Folder){
 		"sync":  func(f *memory.Folder) { f.FailSyncs(errors.New("input/output error")) },
 		"write": func(f *memory.Folder) { f.FailWrites(errors.New("input/output error")) },
@@ -259,12 +259,12 @@
 		}
 		folder.SetFreeSpace(-1)
 		folder.Crash(func(int) int { return 0 })
-		_, _, opened := disk.Open(folder)
+		_, _, openErr := disk.Open(folder)
 		if err == nil {
-			must.NoError(t, opened)
+			must.NoError(t, openErr)
 			continue
 		}
-		must.ErrorIs(t, opened, disk.ErrEmpty)
+		must.ErrorIs(t, openErr, disk.ErrEmpty)
 		_, err = disk.Create(folder, &wire.ReplicaIdentity{Identity: "two"})
 		must.NoError(t, err)
 	}
--- a/control/disk/load.go
+++ b/control/disk/load.go
@@ -7,7 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// CorruptionError reports a corrupt place in a file that is not a torn write.
+// CorruptionError reports a corrupt record or a missing segment. A torn write at
+// the end of the log is not an error.
 type CorruptionError struct {
 	file   string
 	offset int
@@ -15,15 +16,15 @@
 }
 
 // Error describes the corruption with file and offset.
-func (d *CorruptionError) Error() string {
-	return errors.Errorf("file %s is damaged at offset %d: %s", d.file, d.offset, d.reason).Error()
+func (e *CorruptionError) Error() string {
+	return errors.Errorf("file %s is damaged at offset %d: %s", e.file, e.offset, e.reason).Error()
 }
 
 // File returns the corrupt file's name.
-func (d *CorruptionError) File() string { return d.file }
+func (e *CorruptionError) File() string { return e.file }
 
 // Offset returns the offset of the corruption.
-func (d *CorruptionError) Offset() int { return d.offset }
+func (e *CorruptionError) Offset() int { return e.offset }
 
 // replay is the state that results from replaying the records of the log.
 type replay struct {
@@ -242,7 +243,7 @@
 	}
 	rest := r.entries[index+1-first:]
 	if index >= first && r.entries[index-first].GetTerm() != snapshot.GetTerm() {
-		// The snapshot was installed by a leader whose log replaces this one.
+		// The snapshot was received from a leader whose log replaces this one.
 		return nil, nil
 	}
 	return rest, nil
--- a/control/disk/memory/memory.go
+++ b/control/disk/memory/memory.go
@@ -113,7 +113,7 @@
 	return &lock{folder: f, crashes: f.crashes}, nil
 }
 
-// Open opens a file to read it from its start and to write at its end.
+// Open opens a file for reading from its start and for appending.
 func (f *Folder) Open(name string) (disk.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/fleet/fleet_test.go
+++ b/control/fleet/fleet_test.go
@@ -32,7 +32,7 @@
 	must.MapLen(t, 28, seen)
 }
 
-func TestSilentHostsAreMarkedAndForgotten(t *testing.T) {
+func TestSilentHostsAreMarkedAndRemoved(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	f.Report(&wire.HostReport{Name: "e1", Version: 7, State: "ready"}, start)
@@ -40,10 +40,10 @@
 	silent := f.Hosts(start.Add(fleet.SilentAfter + 1))[0]
 	must.Eq(t, fleet.StateSilent, silent.GetState())
 	must.Eq(t, 7, silent.GetVersion())
-	must.SliceEmpty(t, f.Hosts(start.Add(fleet.ForgetAfter+1)))
+	must.SliceEmpty(t, f.Hosts(start.Add(fleet.ReportTTL+1)))
 }
 
-func TestAHostThatLeftIsForgottenAndItsLastReportIsReturnedAfterACrash(t *testing.T) {
+func TestAHostThatLeftIsRemovedAndItsLastReportIsReturnedAfterACrash(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	must.Nil(t, f.Report(&wire.HostReport{Name: "e1", State: "ready", Version: 7}, start))
--- a/control/fleet/suspects.go
+++ b/control/fleet/suspects.go
@@ -11,8 +11,8 @@
 // is reported again when it arrives again.
 const maxSuspects = 256
 
-// suspects holds the fingerprints that entry hosts reported of requests that
-// were in flight when connections to instances were lost.
+// suspects holds the fingerprints, reported by entry hosts, of requests that were
+// in flight when connections to instances were lost.
 type suspects struct {
 	mu        sync.Mutex
 	all       []*wire.Suspect // ordered by last change
@@ -28,8 +28,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.revision
-	for _, one := range reported {
-		s.merge(one)
+	for _, suspect := range reported {
+		s.merge(suspect)
 	}
 	if s.revision != before {
 		close(s.notify)
@@ -37,9 +37,9 @@
 	}
 }
 
-func (s *suspects) merge(one *wire.Suspect) {
-	at := slices.IndexFunc(s.all, func(old *wire.Suspect) bool { return old.GetFingerprint() == one.GetFingerprint() })
-	merged := &wire.Suspect{Fingerprint: one.GetFingerprint(), Instances: slices.Clone(one.GetInstances()), RefusedUntil: one.GetRefusedUntil()}
+func (s *suspects) merge(reported *wire.Suspect) {
+	at := slices.IndexFunc(s.all, func(old *wire.Suspect) bool { return old.GetFingerprint() == reported.GetFingerprint() })
+	merged := &wire.Suspect{Fingerprint: reported.GetFingerprint(), Instances: slices.Clone(reported.GetInstances()), RefusedUntil: reported.GetRefusedUntil()}
 	if at >= 0 {
 		old := s.all[at]
 		for _, id := range old.GetInstances() {
--- a/control/host/host.go
+++ b/control/host/host.go
@@ -44,7 +44,7 @@
 			func() hclog.Logger { return logger },
 			state.New,
 			fleet.New,
-			newReplica,
+			newReplicaStore,
 			newNode,
 			newLog,
 			newSeeds,
--- a/control/host/listener.go
+++ b/control/host/listener.go
@@ -78,13 +78,13 @@
 		mux.Handle("GET /metrics", exporter)
 		all = append(all, Listener{Name: "metrics", Address: cfg.Listen.Metrics, Handler: mux})
 	}
-	for _, one := range all {
-		server := &http.Server{Handler: one.Handler, ReadHeaderTimeout: readHeaderTimeout}
+	for _, l := range all {
+		server := &http.Server{Handler: l.Handler, ReadHeaderTimeout: readHeaderTimeout}
 		lc.Append(fx.Hook{
 			OnStart: func(ctx context.Context) error {
-				listener, err := link.Listen(ctx, one.Address, link.MessageTimeouts)
+				listener, err := link.Listen(ctx, l.Address, link.MessageTimeouts)
 				if err != nil {
-					return errors.Wrapf(err, "listen for %s", one.Name)
+					return errors.Wrapf(err, "listen for %s", l.Name)
 				}
 				go serve(server, listener, services.Logger)
 				return nil
--- a/control/host/quorum.go
+++ b/control/host/quorum.go
@@ -16,14 +16,14 @@
 	"go.uber.org/fx"
 )
 
-// replica is the store of the data folder, and the state that the folder
-// contained at startup.
-type replica struct {
+// replicaStore is the store of this host's replica, and the persistent state that
+// its data folder contained at startup.
+type replicaStore struct {
 	store     *disk.Store
 	persisted quorum.PersistentState
 }
 
-func newReplica(cfg *settings.Settings) (*replica, error) {
+func newReplicaStore(cfg *settings.Settings) (*replicaStore, error) {
 	folder, err := disk.NewOSFolder(cfg.Data.Folder)
 	if err != nil {
 		return nil, err
@@ -32,10 +32,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &replica{store: store, persisted: saved}, nil
+	return &replicaStore{store: store, persisted: saved}, nil
 }
 
-func newNode(cfg *settings.Settings, logger hclog.Logger, ring *key.Ring, operators operatorRing, r *replica, current *seeds, machine *state.Machine) (*peer.Node, error) {
+func newNode(cfg *settings.Settings, logger hclog.Logger, ring *key.Ring, operators operatorRing, r *replicaStore, current *seeds, machine *state.Machine) (*peer.Node, error) {
 	return peer.New(peer.Config{
 		Name: cfg.Host.Name, Address: cfg.Listen.Peers, InitialHosts: initialHosts(cfg),
 		Seeds: current.Seeds, Voters: cfg.Quorum.Voters(),
@@ -52,8 +52,8 @@
 		return seedHosts(cfg)
 	}
 	var hosts []peer.Host
-	for _, one := range cfg.Quorum.InitialHosts() {
-		hosts = append(hosts, peer.Host{Name: one[0], Address: one[1]})
+	for _, host := range cfg.Quorum.InitialHosts() {
+		hosts = append(hosts, peer.Host{Name: host[0], Address: host[1]})
 	}
 	if len(hosts) == 0 {
 		return []peer.Host{{Name: cfg.Host.Name, Address: cfg.Listen.Peers}}
@@ -65,7 +65,7 @@
 
 // runNode starts the node after the server has started, and transfers
 // leadership and stops the node before the server stops.
-func runNode(lc fx.Lifecycle, _ *http.Server, r *replica, node *peer.Node) {
+func runNode(lc fx.Lifecycle, _ *http.Server, r *replicaStore, node *peer.Node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
--- a/control/host/seeds.go
+++ b/control/host/seeds.go
@@ -30,8 +30,8 @@
 func seedAddresses(cfg *settings.Settings) []string {
 	_, port, _ := net.SplitHostPort(cfg.Listen.Peers)
 	var all []string
-	for _, one := range cfg.Quorum.Seeds {
-		if host, _, err := net.SplitHostPort(one); err == nil {
+	for _, seed := range cfg.Quorum.Seeds {
+		if host, _, err := net.SplitHostPort(seed); err == nil {
 			all = append(all, net.JoinHostPort(host, port))
 		}
 	}
--- a/control/main.go
+++ b/control/main.go
@@ -39,7 +39,7 @@
 // Run runs the control host until the process is asked to stop.
 func (c *runCommand) Run() error {
 	cfg, findings := settings.Load(c.Path(source), program.Overrides(source, settings.Default(), c.Settings)...)
-	if settled, code := c.ShouldExit(os.Stdout, os.Stderr, cfg, findings); settled {
+	if exit, code := c.ShouldExit(os.Stdout, os.Stderr, cfg, findings); exit {
 		os.Exit(code)
 	}
 	logger := logging.New(name, cfg.Log.Level, os.Stderr)
--- a/control/operator/confirm.go
+++ b/control/operator/confirm.go
@@ -20,7 +20,7 @@
 	next    *confirmation
 }
 
-// confirmation is one confirmation that several callers wait for.
+// confirmation is one confirmation that several calls wait for.
 type confirmation struct {
 	startedAt time.Time
 	err       error
@@ -54,7 +54,7 @@
 	return c.next
 }
 
-// run confirms until no caller waits.
+// run confirms until no call waits.
 func (c *confirmer) run() {
 	for {
 		current := c.take()
--- a/control/operator/instances_test.go
+++ b/control/operator/instances_test.go
@@ -18,7 +18,7 @@
 type partitionedLog struct{ *quorumLog }
 
 func (l *partitionedLog) Status() agreement.Status {
-	return agreement.NewStatus("", "", 1, 1, !l.lost.Load(), nil)
+	return agreement.NewStatus("", "", 1, 1, !l.quorumLost.Load(), nil)
 }
 
 func newPartitionedRules(t *testing.T) (*operator.Rules, *partitionedLog) {
@@ -42,7 +42,7 @@
 		}
 		go func() {
 			time.Sleep(time.Second)
-			log.lost.Store(true)
+			log.quorumLost.Store(true)
 		}()
 		start := time.Now()
 		got, err := rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, WaitMs: 3000, Instances: true})
--- a/control/operator/watch.go
+++ b/control/operator/watch.go
@@ -54,9 +54,9 @@
 }
 
 // shouldConfirm reports whether the response needs confirmation by the quorum.
-// It does not if it carries a newer version, or if this host has no quorum and
-// the watcher polls for instances, because such a watcher fails over to another
-// control host.
+// The first response to a watcher always does. A later one does not if it carries
+// a newer version, or if this host has no quorum and the watcher polls for
+// instances, because such a watcher fails over to another control host.
 func (s *Rules) shouldConfirm(req *wire.WatchRequest, newer bool) bool {
 	if req.GetKnownVersion() == 0 {
 		return true
--- a/control/operator/watch_test.go
+++ b/control/operator/watch_test.go
@@ -20,9 +20,9 @@
 
 // quorumLog applies commands synchronously and takes confirmTime to confirm.
 type quorumLog struct {
-	machine  *state.Machine
-	lost     atomic.Bool
-	confirms atomic.Int32
+	machine    *state.Machine
+	quorumLost atomic.Bool
+	confirms   atomic.Int32
 }
 
 const confirmTime = 5 * time.Millisecond
@@ -37,7 +37,7 @@
 	case <-time.After(confirmTime):
 	case <-ctx.Done():
 	}
-	if l.lost.Load() {
+	if l.quorumLost.Load() {
 		<-ctx.Done()
 		return agreement.ErrNoQuorum
 	}
@@ -98,7 +98,7 @@
 		must.NoError(t, err)
 		must.False(t, got.GetStale())
 		must.Eq(t, text(1), fullText(t, got))
-		log.lost.Store(true)
+		log.quorumLost.Store(true)
 		got, err = rules.Watch(t.Context(), &wire.WatchRequest{KnownVersion: 1, WaitMs: 3000})
 		must.NoError(t, err)
 		must.True(t, got.GetStale())
--- a/control/peer/bootstrap.go
+++ b/control/peer/bootstrap.go
@@ -107,7 +107,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func seedOf(id string) uint64 {
+func randomSeed(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
--- a/control/peer/group_test.go
+++ b/control/peer/group_test.go
@@ -65,7 +65,7 @@
 	return g
 }
 
-func (g *group) initial() []peer.Host {
+func (g *group) initialHosts() []peer.Host {
 	var all []peer.Host
 	for _, h := range g.hosts {
 		all = append(all, peer.Host{Name: h.name, Address: h.address()})
@@ -79,7 +79,7 @@
 	must.NoError(g.t, err)
 	h.store, h.machine = store, state.New()
 	h.node, err = peer.New(peer.Config{
-		Name: h.name, InitialHosts: g.initial(), Tick: 5 * time.Millisecond, ElectionTicks: 30, HeartbeatTicks: 3,
+		Name: h.name, InitialHosts: g.initialHosts(), Tick: 5 * time.Millisecond, ElectionTicks: 30, HeartbeatTicks: 3,
 		Logger: hclog.NewNullLogger(),
 	}, store, saved, h.machine)
 	must.NoError(g.t, err)
@@ -103,8 +103,8 @@
 	g.t.Cleanup(func() { h.stop() })
 }
 
-// lose stops a host and replaces its disk by an empty one.
-func (g *group) lose(h *host) {
+// loseDisk stops a host and replaces its disk by an empty one.
+func (g *group) loseDisk(h *host) {
 	h.stop()
 	h.folder = memory.New()
 }
--- a/control/peer/join.go
+++ b/control/peer/join.go
@@ -43,12 +43,12 @@
 // joinGroup requests to join while this replica is not a member or is out of
 // contact with the leader.
 func (n *Node) joinGroup(ctx context.Context) {
-	known := slices.Clone(n.cfg.Seeds())
+	memberAddresses := slices.Clone(n.cfg.Seeds())
 	for pause.For(ctx, joinInterval) {
 		if n.isConnectedMember() {
 			continue
 		}
-		candidates := append(n.cfg.Seeds(), known...)
+		candidates := append(n.cfg.Seeds(), memberAddresses...)
 		for _, m := range n.view.Load().members {
 			candidates = append(candidates, m.GetAddress())
 		}
@@ -62,7 +62,7 @@
 				n.logger.Debug("control host did not respond", "address", address, "error", err)
 				continue
 			}
-			known = addresses
+			memberAddresses = addresses
 			break
 		}
 	}
--- a/control/peer/link.go
+++ b/control/peer/link.go
@@ -22,9 +22,9 @@
 	snapshotReadAttempts = 3
 )
 
-// link sends messages to one other replica, one request at a time. A request that
-// times out closes the idle connections, so that a half-open connection is
-// detected and replaced.
+// link sends messages to one other replica, one request at a time. When a request
+// fails, it closes the idle connections, so that a half-open connection, on which
+// requests time out, is replaced.
 type link struct {
 	node      *Node
 	address   string
@@ -95,8 +95,8 @@
 	return messages
 }
 
-func (l *link) step(ctx context.Context, messages []*wire.QuorumMessage, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (l *link) step(ctx context.Context, messages []*wire.QuorumMessage, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	self := l.node.store.Identity()
 	req := &wire.StepRequest{
--- a/control/peer/peer.go
+++ b/control/peer/peer.go
@@ -58,14 +58,14 @@
 
 // Limits of a node.
 const (
-	workQueueLength    = 4096
-	maxTaskBatch       = 2048
-	retainedLogBytes   = 2 << 20 // of log entries retained in memory after a snapshot
-	minSnapshot        = 4 << 20
-	maxSnapshot        = 16 << 20
-	leaderWaitTimeouts = 3 // election timeouts that a request waits for a leader
-	retryInterval      = 10 * time.Millisecond
-	proposeTimeout     = 5 * time.Second
+	workQueueLength     = 4096
+	maxTaskBatch        = 2048
+	retainedLogBytes    = 2 << 20  // of log entries retained in memory after a snapshot
+	minSnapshotLogBytes = 4 << 20  // of log entries applied between two snapshots, at least
+	maxSnapshotLogBytes = 16 << 20 // and at most
+	leaderWaitTimeouts  = 3        // election timeouts that a request waits for a leader
+	retryInterval       = 10 * time.Millisecond
+	proposeTimeout      = 5 * time.Second
 )
 
 // Node is the member of the control group on one host.
@@ -139,7 +139,7 @@
 	id := n.store.Identity().GetIdentity()
 	n.replica = quorum.New(id, saved,
 		quorum.WithElectionTicks(n.cfg.ElectionTicks), quorum.WithHeartbeatTicks(n.cfg.HeartbeatTicks),
-		quorum.WithSeed(seedOf(id)))
+		quorum.WithSeed(randomSeed(id)))
 	n.applied = n.replica.AppliedIndex()
 	if saved.Vote != nil {
 		// After a power loss of all hosts, the group should not wait for a full
@@ -305,6 +305,6 @@
 		n.publish()
 	}
 	n.applied = e.GetIndex()
-	n.snapshots.logBytes += len(e.GetData()) + entryOverhead
+	n.snapshots.logBytes += len(e.GetData()) + entryOverheadBytes
 	n.completeProposal(e, result)
 }
--- a/control/peer/peer_test.go
+++ b/control/peer/peer_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestFailedDiskStopsAcceptanceForGood(t *testing.T) {
+func TestFailedDiskStopsAcceptancePermanently(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
 	failed := g.leader()
@@ -43,14 +43,14 @@
 func TestHostWithoutQuorumAcceptsAndConfirmsNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
-	alone := g.leader()
-	for _, h := range g.others(alone) {
+	isolated := g.leader()
+	for _, h := range g.others(isolated) {
 		h.stop()
 	}
-	must.ErrorIs(t, alone.node.Confirm(context.Background()), agreement.ErrNoQuorum)
-	_, err := alone.node.Propose(context.Background(), submission(1))
+	must.ErrorIs(t, isolated.node.Confirm(context.Background()), agreement.ErrNoQuorum)
+	_, err := isolated.node.Propose(context.Background(), submission(1))
 	must.Error(t, err)
-	version, _ := alone.machine.InForce()
+	version, _ := isolated.machine.InForce()
 	must.Eq(t, 1, version.GetNumber())
 }
 
@@ -116,7 +116,7 @@
 	g.submit(g.hosts[0], 0)
 	for n, h := range g.hosts {
 		old := h.store.Identity().GetIdentity()
-		g.lose(h)
+		g.loseDisk(h)
 		g.start(h)
 		must.NotEq(t, old, h.store.Identity().GetIdentity())
 		g.replace(h, old)
@@ -144,12 +144,12 @@
 func TestHostWithEmptyDiskFormsNoSecondGroup(t *testing.T) {
 	g := newGroup(t, 3)
 	g.submit(g.hosts[0], 0)
-	founder := g.hosts[0]
-	g.lose(founder)
-	g.start(founder)
+	first := g.hosts[0]
+	g.loseDisk(first)
+	g.start(first)
 	g.submit(g.hosts[1], 1)
-	must.Eq(t, "", founder.store.Identity().GetGroup())
-	must.False(t, founder.node.Status().Quorum())
+	must.Eq(t, "", first.store.Identity().GetGroup())
+	must.False(t, first.node.Status().Quorum())
 }
 
 func TestFollowerFarBehindCatchesUpBySnapshot(t *testing.T) {
--- a/control/peer/reconciler.go
+++ b/control/peer/reconciler.go
@@ -82,7 +82,7 @@
 		m := &members[n]
 		id := m.member.GetIdentity()
 		seen[id] = true
-		if _, known := r.unreachableSince[id]; !m.reachable && !known {
+		if _, recorded := r.unreachableSince[id]; !m.reachable && !recorded {
 			r.unreachableSince[id] = now
 		}
 		if m.reachable {
@@ -118,11 +118,11 @@
 // add adds a candidate as a learner.
 func (r *reconciler) add(_ string, members []memberState, _ time.Time) *membershipChange {
 	for id, c := range r.candidates {
-		known := false
+		isMember := false
 		for _, m := range members {
-			known = known || m.member.GetIdentity() == id
+			isMember = isMember || m.member.GetIdentity() == id
 		}
-		if !known {
+		if !isMember {
 			return &membershipChange{kind: ChangeAddLearner, member: c.member, reason: "join requested"}
 		}
 	}
--- a/control/peer/reconciler_test.go
+++ b/control/peer/reconciler_test.go
@@ -13,9 +13,9 @@
 	return memberState{member: &wire.Member{Identity: identity, Address: address, Name: address, Role: role}, reachable: reachable}
 }
 
-// wants returns the change that the reconciler requests after the members have
+// nextChange returns the change that the reconciler requests after the members have
 // been in the given state for a time.
-func wants(r *reconciler, after time.Duration, members ...memberState) string {
+func nextChange(r *reconciler, after time.Duration, members ...memberState) string {
 	now := time.Unix(1000, 0)
 	r.next("a", members, now)
 	for id := range r.candidates { // renew the join requests
@@ -30,45 +30,45 @@
 	return change.kind + " " + change.member.GetIdentity()
 }
 
-func three(cUp bool) []memberState {
-	return []memberState{memberAt("a", "1", quorum.Voter, true), memberAt("b", "2", quorum.Voter, true), memberAt("c", "3", quorum.Voter, cUp)}
+func threeVoters(cReachable bool) []memberState {
+	return []memberState{memberAt("a", "1", quorum.Voter, true), memberAt("b", "2", quorum.Voter, true), memberAt("c", "3", quorum.Voter, cReachable)}
 }
 
 func TestCandidateIsAddedAndPromotedIfVotersAreMissing(t *testing.T) {
 	r := newReconciler(3)
-	two := three(true)[:2]
-	must.Eq(t, "", wants(&r, 0, two...))
+	two := threeVoters(true)[:2]
+	must.Eq(t, "", nextChange(&r, 0, two...))
 	r.addCandidate(&wire.JoinRequest{Identity: "d", Address: "4"}, time.Unix(1000, 0))
-	must.Eq(t, ChangeAddLearner+" d", wants(&r, 0, two...))
-	must.Eq(t, ChangePromote+" d", wants(&r, 0, append(two, memberAt("d", "4", quorum.Learner, true))...))
-	must.Eq(t, "", wants(&r, 0, append(three(true), memberAt("d", "4", quorum.Learner, true))...))
+	must.Eq(t, ChangeAddLearner+" d", nextChange(&r, 0, two...))
+	must.Eq(t, ChangePromote+" d", nextChange(&r, 0, append(two, memberAt("d", "4", quorum.Learner, true))...))
+	must.Eq(t, "", nextChange(&r, 0, append(threeVoters(true), memberAt("d", "4", quorum.Learner, true))...))
 }
 
 func TestReplicaWithLostDiskIsReplacedImmediately(t *testing.T) {
 	r := newReconciler(3)
 	r.addCandidate(&wire.JoinRequest{Identity: "new", Address: "3"}, time.Unix(1000, 0))
-	must.Eq(t, ChangeAddLearner+" new", wants(&r, 0, three(false)...))
-	learner := append(three(false), memberAt("new", "3", quorum.Learner, true))
-	must.Eq(t, ChangePromote+" new", wants(&r, 0, learner...))
-	voter := append(three(false), memberAt("new", "3", quorum.Voter, true))
-	must.Eq(t, ChangeRemove+" c", wants(&r, 0, voter...))
+	must.Eq(t, ChangeAddLearner+" new", nextChange(&r, 0, threeVoters(false)...))
+	learner := append(threeVoters(false), memberAt("new", "3", quorum.Learner, true))
+	must.Eq(t, ChangePromote+" new", nextChange(&r, 0, learner...))
+	voter := append(threeVoters(false), memberAt("new", "3", quorum.Voter, true))
+	must.Eq(t, ChangeRemove+" c", nextChange(&r, 0, voter...))
 }
 
 func TestRestartDoesNotReplaceVoter(t *testing.T) {
-	members := append(three(false), memberAt("d", "4", quorum.Learner, true))
+	members := append(threeVoters(false), memberAt("d", "4", quorum.Learner, true))
 	r := newReconciler(3)
-	must.Eq(t, "", wants(&r, replaceVoterAfter/2, members...))
+	must.Eq(t, "", nextChange(&r, replaceVoterAfter/2, members...))
 	r = newReconciler(3)
-	must.Eq(t, ChangePromote+" d", wants(&r, replaceVoterAfter+time.Second, members...))
+	must.Eq(t, ChangePromote+" d", nextChange(&r, replaceVoterAfter+time.Second, members...))
 	r = newReconciler(0)
-	must.Eq(t, "", wants(&r, time.Hour, members...), must.Sprint("operators manage the membership"))
+	must.Eq(t, "", nextChange(&r, time.Hour, members...), must.Sprint("operators manage the membership"))
 }
 
 func TestLeaderIsNeverRemovedAndUnreachableLearnersAre(t *testing.T) {
 	r := newReconciler(1)
-	must.Eq(t, ChangeRemove+" b", wants(&r, 0, three(true)[:2]...))
+	must.Eq(t, ChangeRemove+" b", nextChange(&r, 0, threeVoters(true)[:2]...))
 	r = newReconciler(3)
-	members := append(three(true), memberAt("d", "4", quorum.Learner, false))
-	must.Eq(t, "", wants(&r, removeLearnerAfter/2, members...))
-	must.Eq(t, ChangeRemove+" d", wants(&r, removeLearnerAfter+time.Second, members...))
+	members := append(threeVoters(true), memberAt("d", "4", quorum.Learner, false))
+	must.Eq(t, "", nextChange(&r, removeLearnerAfter/2, members...))
+	must.Eq(t, ChangeRemove+" d", nextChange(&r, removeLearnerAfter+time.Second, members...))
 }
--- a/control/peer/snapshot.go
+++ b/control/peer/snapshot.go
@@ -6,8 +6,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// entryOverhead is the size in bytes of a log entry without its data.
-const entryOverhead = 48
+// entryOverheadBytes is the size in bytes of a log entry without its data.
+const entryOverheadBytes = 48
 
 // snapshotter decides when to take a snapshot. The log between two snapshots grows
 // with the size of the state, so that the cost stays proportional.
@@ -18,7 +18,7 @@
 }
 
 func (s *snapshotter) due() bool {
-	return !s.running && s.logBytes >= min(max(minSnapshot, s.lastBytes), maxSnapshot)
+	return !s.running && s.logBytes >= min(max(minSnapshotLogBytes, s.lastBytes), maxSnapshotLogBytes)
 }
 
 // snapshotIfDue encodes and writes a snapshot in the background. The goroutine of
--- a/control/peer/view.go
+++ b/control/peer/view.go
@@ -8,7 +8,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// view is an immutable snapshot of the replica for other goroutines.
+// view is an immutable copy of the status of the replica for other goroutines.
 type view struct {
 	isLeader      bool
 	address       string // of this host according to the membership
--- a/control/quorum/compact.go
+++ b/control/quorum/compact.go
@@ -30,7 +30,7 @@
 func (l *entryLog) compactionIndex(index uint64, keepBytes int) uint64 {
 	size := 0
 	for ; index > l.offset; index-- {
-		size += len(l.entries[index-l.offset-1].GetData()) + entryOverhead
+		size += len(l.entries[index-l.offset-1].GetData()) + entryOverheadBytes
 		if size > keepBytes {
 			return index
 		}
@@ -38,9 +38,9 @@
 	return index
 }
 
-// entryOverhead is the memory that an entry takes in addition to its data, in
+// entryOverheadBytes is the memory that an entry takes in addition to its data, in
 // bytes.
-const entryOverhead = 128
+const entryOverheadBytes = 128
 
 // LogBytes returns the total data size of the entries held in memory.
 func (r *Replica) LogBytes() int { return r.log.bytes }
--- a/control/quorum/election.go
+++ b/control/quorum/election.go
@@ -18,7 +18,7 @@
 }
 
 // becomeCandidate increments the term and starts an election. If transferred is
-// set, voters grant the vote even though their leader is still active.
+// set, voters handle the request even though their leader is still active.
 func (r *Replica) becomeCandidate(transferred bool) {
 	r.role, r.leader = Candidate, ""
 	r.term++
--- a/control/quorum/leader.go
+++ b/control/quorum/leader.go
@@ -87,8 +87,8 @@
 		return
 	}
 	previous := p.next - 1
-	term, known := r.log.term(previous)
-	if !known {
+	term, ok := r.log.term(previous)
+	if !ok {
 		r.sendSnapshot(id, p)
 		return
 	}
--- a/control/quorum/members.go
+++ b/control/quorum/members.go
@@ -127,7 +127,7 @@
 }
 
 // Members returns the newest membership in the local log, which may not be
-// committed. The caller must not modify it.
+// committed. It must not be modified.
 func (r *Replica) Members() []*wire.Member { return r.members.newest().members }
 
 // MatchIndex returns the last log index known to be durable on a member, and
--- a/control/quorum/quorum.go
+++ b/control/quorum/quorum.go
@@ -21,7 +21,7 @@
 //		if out.Empty() {
 //			break
 //		}
-//		send(out.Early())
+//		send(out.EarlyMessages())
 //		write(out.Vote(), out.Snapshot(), out.Entries()) // and sync
 //		replica.Persisted()
 //		send(out.Messages())
--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -139,7 +139,7 @@
 	must.Nil(t, out.Snapshot())
 }
 
-func TestBlankReplicaNeverCampaigns(t *testing.T) {
+func TestEmptyReplicaNeverCampaigns(t *testing.T) {
 	r := newReplica("a", quorum.PersistentState{})
 	for range 10 * electionTicks {
 		r.Tick()
--- a/control/schedule/attempt.go
+++ b/control/schedule/attempt.go
@@ -51,8 +51,8 @@
 	result     *wire.Result
 }
 
-// start proposes the command at a host. It does nothing if the host is not a
-// leader.
+// start proposes the command at a host. It does nothing if the host does not
+// consider itself the leader.
 func (a *attempt) start(sim *Simulation, h *host) {
 	data, err := proto.Marshal(a.cmd)
 	if err != nil {
--- a/control/schedule/members.go
+++ b/control/schedule/members.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// LoseDisk replaces the disk of a host by a blank one. The host restarts with a
+// LoseDisk replaces the disk of a host by an empty one. The host restarts with a
 // new identity.
 func (sim *Simulation) LoseDisk(name string) {
 	h := sim.hostNamed(name)
--- a/control/schedule/repair_test.go
+++ b/control/schedule/repair_test.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// Guards against the loss of an accepted change when a host restarts with a blank
+// Guards against the loss of an accepted change when a host restarts with an empty
 // disk under its old name: it has no vote, so it must not form a quorum that lacks
 // an entry that only one of the other two hosts has.
-func TestBlankDiskUnderAnOldNameHasNoVote(t *testing.T) {
+func TestEmptyDiskUnderAnOldNameHasNoVote(t *testing.T) {
 	sim := schedule.NewSimulation(schedule.NewRandom(2), schedule.WithHosts(3), schedule.WithoutFaults())
 	must.True(t, sim.Submit())
 	leader := sim.Leader()
@@ -44,7 +44,7 @@
 	for name := range others {
 		sim.Crash(name)
 	}
-	// Only the host with the blank disk is running: it must not become leader.
+	// Only the host with the empty disk is running: it must not become leader.
 	must.False(t, sim.RunUntil(func() bool { return sim.Leader() != "" }))
 	sim.Heal()
 	must.True(t, sim.Repair())
--- a/control/schedule/schedule_test.go
+++ b/control/schedule/schedule_test.go
@@ -37,18 +37,18 @@
 	must.Greater(t, 400, total.accepted)
 	must.Greater(t, 200, total.dispatched)
 	must.Greater(t, 200, total.crashes)
-	must.Greater(t, 20, total.blanks)
-	must.Greater(t, 20, total.changes)
+	must.Greater(t, 20, total.diskLosses)
+	must.Greater(t, 20, total.membershipChanges)
 }
 
-type totals struct{ accepted, dispatched, crashes, blanks, changes int }
+type totals struct{ accepted, dispatched, crashes, diskLosses, membershipChanges int }
 
 func (t *totals) add(r *schedule.Report) {
 	t.accepted += r.Accepted()
 	t.dispatched += r.Dispatched()
 	t.crashes += r.Crashes()
-	t.blanks += r.DiskLosses()
-	t.changes += r.MembershipChanges()
+	t.diskLosses += r.DiskLosses()
+	t.membershipChanges += r.MembershipChanges()
 }
 
 // describe lists the violations of a run, one per line.
--- a/control/schedule/simulation.go
+++ b/control/schedule/simulation.go
@@ -14,7 +14,7 @@
 	options
 	source   Source
 	report   *Report
-	now      int // logical time of steps and client events
+	now      int // logical time: advances with steps and client events, and orders the history
 	hosts    []*host
 	inFlight []*wire.QuorumMessage
 	blocked  map[[2]string]bool // from, to
@@ -28,8 +28,8 @@
 // Report returns the report so far.
 func (sim *Simulation) Report() *Report { return sim.report }
 
-func (sim *Simulation) violate(p Invariant, detail string) {
-	sim.report.violations = append(sim.report.violations, Violation{invariant: p, step: sim.now, detail: detail})
+func (sim *Simulation) violate(invariant Invariant, detail string) {
+	sim.report.violations = append(sim.report.violations, Violation{invariant: invariant, step: sim.now, detail: detail})
 }
 
 // faultOneIn reports, with probability 1/n, that a fault is to be injected.
--- a/control/settings/quorum.go
+++ b/control/settings/quorum.go
@@ -8,7 +8,8 @@
 	"github.com/snipebeam/snipebeam/world/setting"
 )
 
-// Quorum configures the members of the control group and its Raft timing.
+// Quorum configures the members of the control group and the timing of the
+// consensus protocol.
 type Quorum struct {
 	Hosts          []string `toml:"hosts" comment:"first membership as name=address, the same list on each host; the first one forms the group; empty: this host alone"`
 	Seeds          []string `toml:"seeds" comment:"addresses of some control hosts, with any port; instead of hosts, for a group that keeps its own membership"`
--- a/control/state/claims.go
+++ b/control/state/claims.go
@@ -8,13 +8,13 @@
 
 // Limits on claims. All durations are measured on the group's clock.
 const (
-	defaultRetention  = 24 * time.Hour
-	maxRetention      = 7 * 24 * time.Hour
-	maxStoredBody     = 64 << 10 // bytes of one stored answer
-	maxStoredAnswers  = 32 << 20 // bytes of all stored answers
-	maxClaimBytes     = 72 << 20 // bytes of all claims and releases, excluding answers
-	claimOverhead     = 320      // bytes per claim, excluding its strings
-	releasedRetention = 10 * time.Minute
+	defaultRetention    = 24 * time.Hour
+	maxRetention        = 7 * 24 * time.Hour
+	maxAnswerBytes      = 64 << 10 // bytes of one stored answer
+	maxTotalAnswerBytes = 32 << 20 // bytes of all stored answers
+	maxClaimBytes       = 72 << 20 // bytes of all claims and releases, excluding answers
+	claimOverheadBytes  = 320      // bytes per claim or release, excluding its strings
+	releasedRetention   = 10 * time.Minute
 )
 
 type claimState string
@@ -39,7 +39,7 @@
 }
 
 func (c *claim) bytes() int {
-	return claimOverhead + c.key.bytes() + len(c.holder) + len(c.claimID) + len(c.fingerprint)
+	return claimOverheadBytes + c.key.bytes() + len(c.holder) + len(c.claimID) + len(c.fingerprint)
 }
 
 func answerBytes(a *wire.StoredAnswer) int {
@@ -197,7 +197,7 @@
 // limitAnswer drops the headers and the body of an answer that exceeds the limits.
 func (s *claimsState) limitAnswer(answer *wire.StoredAnswer) *wire.StoredAnswer {
 	size := answerBytes(answer)
-	if size <= maxStoredBody && s.answerBytes+size <= maxStoredAnswers {
+	if size <= maxAnswerBytes && s.answerBytes+size <= maxTotalAnswerBytes {
 		return answer
 	}
 	return &wire.StoredAnswer{Status: answer.GetStatus(), BodyDropped: true}
--- a/control/state/instances.go
+++ b/control/state/instances.go
@@ -216,7 +216,7 @@
 }
 
 // Instances returns the records that changed after a revision, and the revision of
-// the newest one. The caller must not modify the records.
+// the newest one. The records must not be modified.
 func (m *Machine) Instances(after uint64) ([]*wire.Instance, uint64) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/control/state/release.go
+++ b/control/state/release.go
@@ -8,7 +8,7 @@
 	bucketIndex int
 }
 
-func (r *release) bytes() int { return claimOverhead + r.key.bytes() + len(r.claimID) }
+func (r *release) bytes() int { return claimOverheadBytes + r.key.bytes() + len(r.claimID) }
 
 type releaseKey struct {
 	key     claimKey
--- a/control/state/rules.go
+++ b/control/state/rules.go
@@ -127,7 +127,7 @@
 	}
 	old, _ := r.version(number)
 	if old == nil {
-		return fmt.Sprintf("version %d is not known any more", number)
+		return fmt.Sprintf("version %d is no longer available", number)
 	}
 	if old.GetDigest() != Digest(req.GetText()) {
 		return fmt.Sprintf("the text is not that of version %d", number)
--- a/control/upstream/upstream.go
+++ b/control/upstream/upstream.go
@@ -151,8 +151,8 @@
 		if m.GetSilent() || m.GetGone() {
 			continue
 		}
-		holder := m.GetHeardBy() == i.name
-		if !holder && (reachable == nil || reachable[m.GetHeardBy()]) {
+		isHolder := m.GetHeardBy() == i.name
+		if !isHolder && (reachable == nil || reachable[m.GetHeardBy()]) {
 			delete(i.renewed, m.GetId())
 			continue
 		}
