--- a/control/fleet/fleet.go
+++ b/control/fleet/fleet.go
@@ -20,7 +20,7 @@
 // SilentAfter is the time without a report after which a host is silent.
 const SilentAfter = 5 * time.Second
 
-// ReportTTL is the time without a report after which a host is removed.
+// ReportTTL is how long the last report of a host is kept.
 const ReportTTL = 10 * time.Minute
 
 // StateSilent is the state of a host that has not reported within SilentAfter.
--- a/control/fleet/fleet_test.go
+++ b/control/fleet/fleet_test.go
@@ -32,7 +32,7 @@
 	must.MapLen(t, 28, seen)
 }
 
-func TestSilentHostsAreMarkedAndForgotten(t *testing.T) {
+func TestSilentHostsAreMarkedAndRemoved(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	f.Report(&wire.HostReport{Name: "e1", Version: 7, State: "ready"}, start)
@@ -43,7 +43,7 @@
 	must.SliceEmpty(t, f.Hosts(start.Add(fleet.ReportTTL+1)))
 }
 
-func TestAHostThatLeftIsForgottenAndItsLastReportIsReturnedAfterACrash(t *testing.T) {
+func TestAHostThatLeftIsRemovedAndItsLastReportIsReturnedAfterACrash(t *testing.T) {
 	f := fleet.New()
 	start := time.Unix(1000, 0)
 	must.Nil(t, f.Report(&wire.HostReport{Name: "e1", State: "ready", Version: 7}, start))
