--- a/bench/capacity/measurement.go
+++ b/bench/capacity/measurement.go
@@ -1,11 +1,11 @@
-// Package capacity works out what each role spends at the size of two years
-// from now, from slopes that were measured and committed.
+// Package capacity extrapolates the cost of each role at the target size, the
+// load expected in two years, from the fitted slopes in docs/measurements.
 //
 // Usage:
 //
 //	m, err := capacity.Load("docs/measurements")
-//	rows, err := capacity.Rows(m)
-//	table := capacity.Table(rows)
+//	table, err := capacity.Table(m)
+//	page, err = capacity.Replace(page, table)
 package capacity
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/snipebeam/snipebeam/bench/figure"
 )
 
-// Measurements are the committed figures by name.
+// Measurements holds the figures by name, and the names that were looked up and
+// not found.
 type Measurements struct {
 	figures map[string]figure.Figure
 	missing []string
 }
 
-// Load reads every file of figures in a folder.
+// Load reads every .jsonl file of figures in a folder.
 func Load(folder string) (*Measurements, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.jsonl"))
 	if err != nil {
@@ -56,7 +57,7 @@
 	return errors.Wrap(scanner.Err(), "read measurements")
 }
 
-// value returns a plain figure.
+// value returns the value of a figure, or 0 and records the name as missing.
 func (m *Measurements) value(name string) float64 {
 	f, ok := m.figures[name]
 	if !ok {
@@ -65,8 +66,8 @@
 	return f.Value
 }
 
-// at returns the fitted line of a figure at a size.
-func (m *Measurements) at(name string, size float64) float64 {
+// fitAt evaluates the fitted line of a figure at a size.
+func (m *Measurements) fitAt(name string, size float64) float64 {
 	f, ok := m.figures[name]
 	if !ok || f.Fit == nil {
 		m.missing = append(m.missing, name)
@@ -75,8 +76,8 @@
 	return f.Fit.Intercept + f.Value*size
 }
 
-// each returns the slope of a figure alone, times a size.
-func (m *Measurements) each(name string, size float64) float64 {
+// slopeTimes returns the slope of a figure times a size, without the intercept.
+func (m *Measurements) slopeTimes(name string, size float64) float64 {
 	f, ok := m.figures[name]
 	if !ok || f.Fit == nil {
 		m.missing = append(m.missing, name)
--- a/bench/capacity/table.go
+++ b/bench/capacity/table.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// Marks around what is generated in the page.
+// Markers around the generated part of the page.
 const (
-	beginMark = "<!-- worked out by make docs: begin -->"
-	endMark   = "<!-- worked out by make docs: end -->"
+	beginMarker = "<!-- worked out by make docs: begin -->"
+	endMarker   = "<!-- worked out by make docs: end -->"
 )
 
-// Table renders the rows and the number of entry hosts as Markdown.
+// Table renders the number of entry hosts and the rows as Markdown.
 func Table(m *Measurements) (string, error) {
 	rows, err := Rows(m)
 	if err != nil {
@@ -31,8 +31,9 @@
 	return b.String(), nil
 }
 
-// cell renders a cost, marked if it is over the budget that binds it.
-func cell(value, budget float64, data bool) string {
+// cell renders a cost and highlights it if it exceeds the budget. The budget
+// does not apply to data-plane costs.
+func cell(value, budget float64, dataPlane bool) string {
 	if math.IsNaN(value) {
 		return "–"
 	}
@@ -40,17 +41,17 @@
 	if value >= 1000 {
 		text = fmt.Sprintf("%.0f", value)
 	}
-	if !data && value > budget {
+	if !dataPlane && value > budget {
 		return "🔴 **" + text + "**"
 	}
 	return text
 }
 
-// Replace puts the table between the marks of a page.
+// Replace returns the page with the table between the markers.
 func Replace(page, table string) (string, error) {
-	begin, end := strings.Index(page, beginMark), strings.Index(page, endMark)
+	begin, end := strings.Index(page, beginMarker), strings.Index(page, endMarker)
 	if begin < 0 || end < begin {
-		return "", errors.New("the page has no marks for the table")
+		return "", errors.New("page has no markers for the table")
 	}
-	return page[:begin+len(beginMark)] + "\n" + table + page[end:], nil
+	return page[:begin+len(beginMarker)] + "\n" + table + page[end:], nil
 }
--- a/bench/capacitypage/main.go
+++ b/bench/capacitypage/main.go
@@ -1,5 +1,5 @@
-// Command capacitypage writes the table of docs/CAPACITY.md from the committed
-// measurements.
+// Command capacitypage regenerates the table of docs/CAPACITY.md from the figures
+// in docs/measurements.
 package main
 
 import (
--- a/bench/cluster/address.go
+++ b/bench/cluster/address.go
@@ -9,36 +9,36 @@
 	"github.com/pkg/errors"
 )
 
-// Ports that are handed out lie below those that the system gives to outgoing
-// links, which could take one between its choice and its use.
+// Ports are picked below the ephemeral range, so that an outgoing connection
+// cannot take one between the check and its use.
 const (
-	firstPort = 10_000
-	lastPort  = 32_000
-	portTries = 1000
+	firstPort       = 10_000
+	lastPort        = 32_000
+	maxPortAttempts = 1000
 )
 
 var (
-	portsMu sync.Mutex
-	taken   = map[int]bool{}
+	portsMu     sync.Mutex
+	issuedPorts = map[int]bool{}
 )
 
-// FreeAddress returns a loopback address whose port was free a moment ago, for
-// TCP and UDP. It returns none twice.
+// FreeAddress returns a loopback address whose port is free for TCP and UDP at
+// the time of the check. It never returns the same address twice.
 func FreeAddress() (string, error) {
 	portsMu.Lock()
 	defer portsMu.Unlock()
-	for range portTries {
+	for range maxPortAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if !taken[port] && free(address) {
-			taken[port] = true
+		if !issuedPorts[port] && isFree(address) {
+			issuedPorts[port] = true
 			return address, nil
 		}
 	}
 	return "", errors.New("no free port")
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/bench/cluster/cluster.go
+++ b/bench/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs snipebeam's programs on loopback for the demo, for
-// measurements and for tests with real processes.
+// Package cluster runs snipebeam's programs as processes on loopback, for the
+// demo, for benchmarks and for tests that need real processes.
 //
 // Usage:
 //
@@ -22,7 +22,7 @@
 	"github.com/pkg/errors"
 )
 
-// Times to wait for a program.
+// Timeouts and poll interval for the state of a process.
 const (
 	readyLimit = 10 * time.Second
 	readyPoll  = 20 * time.Millisecond
@@ -41,32 +41,32 @@
 // Name returns the process's name in the cluster.
 func (p *Process) Name() string { return p.name }
 
-// LogPath returns the file with the process's log.
+// LogPath returns the path of the process's log file.
 func (p *Process) LogPath() string { return p.logPath }
 
-// PID returns the process's id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Wait waits for the process to end.
+// Wait waits until the process exits, up to the limit, and returns its exit error.
 func (p *Process) Wait(limit time.Duration) error {
 	select {
 	case <-p.done:
 		return p.err
 	case <-time.After(limit):
-		return errors.Errorf("%s still runs after %s", p.name, limit)
+		return errors.Errorf("%s still running after %s", p.name, limit)
 	}
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	_ = p.Wait(killLimit)
 }
 
-// Host is a process of the system with its addresses.
+// Host is an entry or control process with its settings file and addresses.
 type Host struct {
 	*Process
 	Zone     string
@@ -77,26 +77,28 @@
 	DNS      string
 }
 
-// Cluster is a set of processes with their folder.
+// Cluster is a set of processes that share a folder for settings, logs and data.
 type Cluster struct {
-	programs string
-	dir      string
-	keys     keyFiles
-	Controls []*Host
-	Entries  []*Host
-	others   []*Process
+	programs  string
+	dir       string
+	keys      keyFiles
+	Controls  []*Host
+	Entries   []*Host
+	instances []*Process
 }
 
-// New returns a cluster that runs programs from a folder and writes below dir.
+// New returns a cluster that runs the programs of a folder and writes its files
+// below dir.
 func New(programs, dir string) (*Cluster, error) {
 	absolute, err := filepath.Abs(programs)
 	if err != nil {
-		return nil, errors.Wrap(err, "find programs")
+		return nil, errors.Wrap(err, "resolve programs folder")
 	}
-	return &Cluster{programs: absolute, dir: dir}, errors.Wrap(os.MkdirAll(dir, 0o755), "make folder")
+	return &Cluster{programs: absolute, dir: dir}, errors.Wrap(os.MkdirAll(dir, 0o755), "create folder")
 }
 
-// Start runs a program with arguments; its log goes to a file.
+// Start runs a program and appends its output to a log file in the cluster's
+// folder.
 func (c *Cluster) Start(name, program string, args ...string) (*Process, error) {
 	logPath := filepath.Join(c.dir, name+".log")
 	out, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -117,7 +119,7 @@
 	return p, nil
 }
 
-// StartControl runs n control hosts.
+// StartControl starts n control hosts.
 func (c *Cluster) StartControl(n int) error {
 	for i := range n {
 		address, err := FreeAddress()
@@ -143,7 +145,8 @@
 	return c.Restart(host, name, "snipebeam-control")
 }
 
-// initialControls returns the first membership of the control group.
+// initialControls returns the initial membership of the control group, as
+// name=address.
 func (c *Cluster) initialControls() []string {
 	var all []string
 	for n, host := range c.Controls {
@@ -152,7 +155,7 @@
 	return all
 }
 
-// Restart runs a host's program again with its settings file.
+// Restart starts a host's program with its existing settings file.
 func (c *Cluster) Restart(host *Host, name, program string) error {
 	p, err := c.Start(name, program, "--config", host.Config)
 	if err != nil {
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// ControlAddresses returns the peers addresses of the control hosts.
+// ControlAddresses returns the peer addresses of the control hosts.
 func (c *Cluster) ControlAddresses() []string {
 	var all []string
 	for _, host := range c.Controls {
@@ -180,7 +183,7 @@
 	return all
 }
 
-// StartEntries runs n entry hosts, spread over the zones.
+// StartEntries starts n entry hosts, assigned to the zones in rotation.
 func (c *Cluster) StartEntries(n int, zones ...string) error {
 	for i := range n {
 		host := &Host{Zone: zones[i%len(zones)], Config: filepath.Join(c.dir, fmt.Sprintf("entry-%d.toml", i+1))}
@@ -216,7 +219,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// StartInstance runs a stand-in instance; extra are further arguments.
+// StartInstance starts a stand-in instance with extra arguments and returns its
+// process and address.
 func (c *Cluster) StartInstance(id, service, zone string, extra ...string) (*Process, string, error) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -230,11 +234,11 @@
 	if err != nil {
 		return nil, "", err
 	}
-	c.others = append(c.others, p)
+	c.instances = append(c.instances, p)
 	return p, address, nil
 }
 
-// WaitReady waits until every entry host is ready.
+// WaitReady waits until /readyz of every entry host answers 200.
 func (c *Cluster) WaitReady() error {
 	for _, host := range c.Entries {
 		if err := waitURL("http://" + host.Platform + "/readyz"); err != nil {
@@ -259,9 +263,9 @@
 	return errors.Errorf("%s is not ready within %s", url, readyLimit)
 }
 
-// Close kills every process that still runs.
+// Close kills all instances and hosts.
 func (c *Cluster) Close() {
-	for _, p := range c.others {
+	for _, p := range c.instances {
 		p.Kill()
 	}
 	for _, host := range append(append([]*Host{}, c.Entries...), c.Controls...) {
@@ -271,10 +275,11 @@
 	}
 }
 
-// Terminate asks a process to stop gracefully and waits.
+// Terminate sends SIGTERM for a graceful stop and waits up to the limit for the
+// process to exit.
 func (p *Process) Terminate(limit time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		return errors.Wrap(err, "signal")
+		return errors.Wrap(err, "send SIGTERM")
 	}
 	return p.Wait(limit)
 }
--- a/bench/cluster/keys.go
+++ b/bench/cluster/keys.go
@@ -9,14 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// keyFiles are the files of the keys that a cluster uses, empty without keys.
+// keyFiles holds the paths of a cluster's key files, empty without keys.
 type keyFiles struct {
 	peers     string
 	operators string
 	upstreams string
 }
 
-// UseKeys makes the programs started from now on use keys of their own.
+// UseKeys generates keys that all programs started afterwards use.
 func (c *Cluster) UseKeys() error {
 	for name, path := range map[string]*string{"peers": &c.keys.peers, "operators": &c.keys.operators, "upstreams": &c.keys.upstreams} {
 		*path = filepath.Join(c.dir, name+".key")
@@ -27,10 +27,10 @@
 	return nil
 }
 
-// OperatorsKey returns the file with the operators' key, empty without keys.
+// OperatorsKey returns the path of the operators' key file, empty without keys.
 func (c *Cluster) OperatorsKey() string { return c.keys.operators }
 
-// controlSection returns the settings of a control host's keys.
+// controlSection returns the [keys] section of a control host's settings.
 func (k keyFiles) controlSection() string {
 	if k.peers == "" {
 		return ""
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("[keys]\npeers = %q\noperators = %q\n", k.peers, k.operators)
 }
 
-// entrySection returns the settings of an entry host's keys.
+// entrySection returns the [keys] section of an entry host's settings.
 func (k keyFiles) entrySection() string {
 	if k.peers == "" {
 		return ""
--- a/bench/demo/demo.go
+++ b/bench/demo/demo.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	controlHosts = 3
-	entryHosts   = 3
-	submitTries  = 40
-	settleTime   = 250 * time.Millisecond
-	settleLimit  = 10 * time.Second
+	controlHosts     = 3
+	entryHosts       = 3
+	submitAttempts   = 40
+	pollInterval     = 250 * time.Millisecond
+	instancesTimeout = 10 * time.Second
 )
 
 type demo struct {
-	cli     flags
-	cluster *cluster.Cluster
-	dir     string
-	tool    *tool
-	drained instance   // told to drain
-	keyed   []instance // all that count executions
-	events  eventLog
+	cli        flags
+	cluster    *cluster.Cluster
+	dir        string
+	tool       *tool
+	drained    instance   // drained under load
+	atMostOnce []instance // instances of services with idempotency keys
+	events     eventLog
 }
 
 // instance is a stand-in instance of the demo.
@@ -40,13 +40,13 @@
 		return err
 	}
 	fmt.Printf("%d control hosts, %d entry hosts and %d instances are up after %s\n\n", controlHosts, entryHosts, instances(), time.Since(started).Round(time.Millisecond))
-	over := make(chan struct{})
+	eventsDone := make(chan struct{})
 	go func() {
-		defer close(over)
-		d.happen(ctx)
+		defer close(eventsDone)
+		d.runEvents(ctx)
 	}()
 	summaries := d.load(ctx)
-	<-over
+	<-eventsDone
 	if ctx.Err() != nil {
 		return errors.Wrap(ctx.Err(), "interrupted")
 	}
@@ -70,7 +70,7 @@
 	if err := d.cluster.StartEntries(entryHosts, zones...); err != nil {
 		return err
 	}
-	if err := d.firstSubmit(ctx); err != nil {
+	if err := d.submitInitialRules(ctx); err != nil {
 		return err
 	}
 	if err := d.cluster.WaitReady(); err != nil {
@@ -82,14 +82,14 @@
 	return d.waitInstances(ctx)
 }
 
-// firstSubmit tries until the control hosts have elected a leader.
-func (d *demo) firstSubmit(ctx context.Context) error {
+// submitInitialRules retries until the control hosts have elected a leader.
+func (d *demo) submitInitialRules(ctx context.Context) error {
 	var err error
-	for range submitTries {
-		if _, err = d.tool.quiet(ctx, "submit", d.cli.Rules, "--author", "demo", "--reason", "the first rules", "--state-dir", d.dir); err == nil {
+	for range submitAttempts {
+		if _, err = d.tool.run(ctx, "submit", d.cli.Rules, "--author", "demo", "--reason", "the first rules", "--state-dir", d.dir); err == nil {
 			return nil
 		}
-		time.Sleep(settleTime)
+		time.Sleep(pollInterval)
 	}
 	return err
 }
@@ -102,35 +102,36 @@
 			if err != nil {
 				return err
 			}
-			if w.once != "" {
+			if w.keyHeader != "" {
 				d.drained = instance{id: id, address: address}
-				d.keyed = append(d.keyed, d.drained)
+				d.atMostOnce = append(d.atMostOnce, d.drained)
 			}
 		}
 	}
 	return nil
 }
 
-// waitInstances waits until every entry host knows every instance.
+// waitInstances waits until every entry host lists every instance.
 func (d *demo) waitInstances(ctx context.Context) error {
-	deadline := time.Now().Add(settleLimit)
+	deadline := time.Now().Add(instancesTimeout)
 	for time.Now().Before(deadline) {
-		var seen []struct {
+		var listed []struct {
 			SeenBy []string `json:"seenBy"`
 		}
-		if err := d.tool.read(ctx, &seen, "instances"); err == nil && len(seen) == instances() && seenByAll(seen) {
+		if err := d.tool.readJSON(ctx, &listed, "instances"); err == nil && len(listed) == instances() && seenByAll(listed) {
 			return nil
 		}
-		time.Sleep(settleTime)
+		time.Sleep(pollInterval)
 	}
-	return errors.Errorf("the entry hosts do not know all %d instances after %s", instances(), settleLimit)
+	return errors.Errorf("the entry hosts do not know all %d instances after %s", instances(), instancesTimeout)
 }
 
-func seenByAll(seen []struct {
+// seenByAll reports whether every instance is seen by all entry hosts.
+func seenByAll(listed []struct {
 	SeenBy []string `json:"seenBy"`
 },
 ) bool {
-	for _, one := range seen {
+	for _, one := range listed {
 		if len(one.SeenBy) < entryHosts {
 			return false
 		}
@@ -138,7 +139,8 @@
 	return true
 }
 
-// summarise prints what happened and judges it.
+// summarise prints the events, the load summaries and the operators' view, and
+// verifies the outcome.
 func (d *demo) summarise(ctx context.Context, summaries []caller.Summary) error {
 	d.events.print()
 	fmt.Println()
@@ -146,12 +148,12 @@
 		fmt.Printf("%-10s %s\n", workloads[n].service, s)
 	}
 	fmt.Println("\nthe system's view:")
-	if err := d.tool.shown(ctx, "hosts"); err != nil {
+	if err := d.tool.runVisible(ctx, "hosts"); err != nil {
 		return err
 	}
 	fmt.Println()
-	if err := d.tool.shown(ctx, "backlog"); err != nil {
+	if err := d.tool.runVisible(ctx, "backlog"); err != nil {
 		return err
 	}
-	return d.judge(ctx, summaries)
+	return d.verify(ctx, summaries)
 }
--- a/bench/demo/event.go
+++ b/bench/demo/event.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	stopLimit = 30 * time.Second
-	// drainLimit is how long an instance that is leaving may still get work.
+	stopTimeout = 30 * time.Second
+	// drainLimit is how long a draining instance may still receive requests.
 	drainLimit = 3 * time.Second
 )
 
-// eventLog holds what was done to the system and what came of it.
+// eventLog records the events of the demo and their results.
 type eventLog struct {
 	mu     sync.Mutex
 	lines  []string
@@ -45,26 +45,27 @@
 	fmt.Println(strings.Join(l.lines, "\n"))
 }
 
-// happen changes a rule, drains an instance and stops an entry host, while the
-// load runs.
-func (d *demo) happen(ctx context.Context) {
+// runEvents changes a rule, drains an instance and stops an entry host under
+// load.
+func (d *demo) runEvents(ctx context.Context) {
 	step := d.cli.Duration / 8
 	pause.For(ctx, step)
-	d.timed("rule change, in force on every entry host", func() error { return d.changeRule(ctx) })
+	d.runEvent("rule change, in force on every entry host", func() error { return d.changeRule(ctx) })
 	pause.For(ctx, step)
-	d.timed("drain of "+d.drained.id+", no new work after "+drainLimit.String(), func() error { return d.drainInstance(ctx) })
+	d.runEvent("drain of "+d.drained.id+", no new work after "+drainLimit.String(), func() error { return d.drainInstance(ctx) })
 	pause.For(ctx, step/2)
 	host := d.cluster.Entries[0]
-	d.timed("graceful stop of "+host.Name()+", with requests in flight", func() error { return host.Terminate(stopLimit) })
+	d.runEvent("graceful stop of "+host.Name()+", with requests in flight", func() error { return host.Terminate(stopTimeout) })
 }
 
-func (d *demo) timed(what string, do func() error) {
+func (d *demo) runEvent(what string, do func() error) {
 	started := time.Now()
 	err := do()
 	d.events.add(what, time.Since(started), err)
 }
 
-// changeRule submits the rules with one deadline changed.
+// changeRule submits the rules with one deadline changed and waits until they
+// are in force.
 func (d *demo) changeRule(ctx context.Context) error {
 	text, err := os.ReadFile(d.cli.Rules)
 	if err != nil {
@@ -78,12 +79,12 @@
 	if err := os.WriteFile(changed, []byte(next), 0o600); err != nil {
 		return errors.Wrap(err, "write rules")
 	}
-	_, err = d.tool.quiet(ctx, "submit", changed, "--author", "demo", "--reason", "a longer deadline", "--state-dir", d.dir, "--wait")
+	_, err = d.tool.run(ctx, "submit", changed, "--author", "demo", "--reason", "a longer deadline", "--state-dir", d.dir, "--wait")
 	return err
 }
 
-// drainInstance tells an instance to drain, and checks that it gets no new
-// work once it had time to be heard.
+// drainInstance sets an instance to draining, and checks that it receives no new
+// requests after drainLimit, which lets the announcement reach the entry hosts.
 func (d *demo) drainInstance(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+d.drained.address+"/standin/faults", strings.NewReader(`{"draining":true}`))
 	if err != nil {
--- a/bench/demo/main.go
+++ b/bench/demo/main.go
@@ -1,7 +1,7 @@
-// Command demo starts a small set of hosts on loopback, submits the example
-// rules, loads four services, changes a rule, drains an instance and stops an
-// entry host gracefully, and prints what the system saw. It exits with 0 only
-// if each outcome was one that the rules allow.
+// Command demo starts a small cluster on loopback, submits the example rules,
+// sends load to four services, changes a rule, drains an instance, stops an
+// entry host gracefully and prints the hosts' view of it. It exits with 0 only if
+// the rules allow every outcome.
 package main
 
 import (
@@ -24,16 +24,16 @@
 	Keep     bool          `help:"Keep the folder with settings, logs and data."`
 }
 
-// wholeLimit bounds the demo, so that it never hangs.
-const wholeLimit = 55 * time.Second
+// demoTimeout bounds the whole run, so that it never hangs.
+const demoTimeout = 55 * time.Second
 
 func main() {
 	var cli flags
 	kong.Parse(&cli, kong.Name("demo"))
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	ctx, limit := context.WithTimeout(ctx, wholeLimit)
-	defer limit()
+	ctx, cancelTimeout := context.WithTimeout(ctx, demoTimeout)
+	defer cancelTimeout()
 	if err := run(ctx, cli); err != nil {
 		fmt.Fprintln(os.Stderr, "demo: "+err.Error())
 		os.Exit(1)
@@ -45,7 +45,7 @@
 	if err != nil {
 		return errors.Wrap(err, "make folder")
 	}
-	defer tidy(dir, cli.Keep)
+	defer cleanUp(dir, cli.Keep)
 	c, err := cluster.New(cli.Programs, dir)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return d.run(ctx)
 }
 
-func tidy(dir string, keep bool) {
+func cleanUp(dir string, keep bool) {
 	if keep {
 		fmt.Println("settings, logs and data are in " + dir)
 		return
--- a/bench/demo/tool.go
+++ b/bench/demo/tool.go
@@ -13,13 +13,13 @@
 	"github.com/snipebeam/snipebeam/bench/cluster"
 )
 
-// tool runs the operators' tool.
+// tool runs snipebeam, the operators' command-line tool, against the cluster.
 type tool struct {
 	path    string
 	cluster *cluster.Cluster
 }
 
-// exitStale is the tool's exit code for an answer that misses some hosts.
+// exitStale is the tool's exit code for a result that lacks some hosts.
 const exitStale = 4
 
 func newTool(programs string, c *cluster.Cluster) *tool {
@@ -31,8 +31,8 @@
 	return exec.CommandContext(ctx, t.path, args...)
 }
 
-// quiet runs a command and returns what it printed with its error.
-func (t *tool) quiet(ctx context.Context, args ...string) (string, error) {
+// run runs a command and returns its output.
+func (t *tool) run(ctx context.Context, args ...string) (string, error) {
 	out, err := t.command(ctx, args...).CombinedOutput()
 	if err != nil {
 		return string(out), errors.Errorf("snipebeam %s: %s", args[0], strings.TrimSpace(string(out)))
@@ -40,26 +40,27 @@
 	return string(out), nil
 }
 
-// shown runs a command whose output the reader of the demo sees. Hosts that
-// are not heard are no failure: the demo stops one.
-func (t *tool) shown(ctx context.Context, args ...string) error {
+// runVisible runs a command with its output on standard output. Unreachable hosts
+// are no failure, as the demo stops one.
+func (t *tool) runVisible(ctx context.Context, args ...string) error {
 	cmd := t.command(ctx, args...)
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stdout
-	return unlessStale(cmd.Run(), args[0])
+	return ignoreStale(cmd.Run(), args[0])
 }
 
-// read runs a command and reads its JSON.
-func (t *tool) read(ctx context.Context, into any, args ...string) error {
+// readJSON runs a command with JSON output and decodes the result.
+func (t *tool) readJSON(ctx context.Context, into any, args ...string) error {
 	var out bytes.Buffer
 	cmd := t.command(ctx, append(args, "--output", "json")...)
 	cmd.Stdout = &out
-	if err := unlessStale(cmd.Run(), args[0]); err != nil {
+	if err := ignoreStale(cmd.Run(), args[0]); err != nil {
 		return err
 	}
 	return errors.Wrap(json.Unmarshal(out.Bytes(), into), "read the tool's answer")
 }
 
-func unlessStale(err error, name string) error {
+// ignoreStale drops the error of a command that exits with exitStale.
+func ignoreStale(err error, name string) error {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == exitStale {
 		return nil
--- a/bench/demo/judge.go
+++ b/bench/demo/verify.go
@@ -10,36 +10,38 @@
 	"github.com/snipebeam/snipebeam/standin/caller"
 )
 
-// wantVersion is in force at the end: the first rules and one change.
+// wantVersion is the version in force at the end: the initial rules and one
+// change.
 const wantVersion = 2
 
-// judge returns an error that names everything the rules do not allow.
-func (d *demo) judge(ctx context.Context, summaries []caller.Summary) error {
-	wrong := append([]string(nil), d.events.failed...)
+// verify returns an error that lists every outcome that the rules do not allow.
+func (d *demo) verify(ctx context.Context, summaries []caller.Summary) error {
+	failures := append([]string(nil), d.events.failed...)
 	for n, s := range summaries {
 		if bad := s.Sent - s.Outcomes["answer"] + s.WrongResponses; bad > 0 || s.Sent == 0 {
-			wrong = append(wrong, workloads[n].service+": "+s.String())
+			failures = append(failures, workloads[n].service+": "+s.String())
 		}
 	}
 	for _, check := range []func(context.Context) error{d.checkVersions, d.checkExecutions} {
 		if err := check(ctx); err != nil {
-			wrong = append(wrong, err.Error())
+			failures = append(failures, err.Error())
 		}
 	}
-	if len(wrong) > 0 {
-		return errors.New("not what the rules allow:\n  " + strings.Join(wrong, "\n  "))
+	if len(failures) > 0 {
+		return errors.New("not what the rules allow:\n  " + strings.Join(failures, "\n  "))
 	}
 	return nil
 }
 
-// checkVersions looks for hosts that are behind the version in force.
+// checkVersions checks that all entry hosts but the stopped one are ready and
+// have the last version in force.
 func (d *demo) checkVersions(ctx context.Context) error {
 	var hosts []struct {
 		Name    string `json:"name"`
 		State   string `json:"state"`
 		Version uint64 `json:"version"`
 	}
-	if err := d.tool.read(ctx, &hosts, "hosts"); err != nil {
+	if err := d.tool.readJSON(ctx, &hosts, "hosts"); err != nil {
 		return err
 	}
 	ready := 0
@@ -58,10 +60,11 @@
 	return nil
 }
 
-// checkExecutions looks for an idempotency key that was run more than once.
+// checkExecutions checks that no idempotency key was executed more than once
+// across the instances.
 func (d *demo) checkExecutions(ctx context.Context) error {
 	total := map[string]int{}
-	for _, one := range d.keyed {
+	for _, one := range d.atMostOnce {
 		counts, err := one.executions(ctx)
 		if err != nil {
 			return err
@@ -78,7 +81,8 @@
 	return nil
 }
 
-// executions returns how often the instance ran each idempotency key.
+// executions returns the number of executions of each idempotency key on the
+// instance.
 func (i instance) executions(ctx context.Context) (map[string]int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.address+"/standin/runs", nil)
 	if err != nil {
--- a/bench/demo/workload.go
+++ b/bench/demo/workload.go
@@ -11,7 +11,7 @@
 // zones are the availability zones of the demo.
 var zones = []string{"trois-rivieres", "shawinigan", "becancour"}
 
-// workload is one service with its instances and its load.
+// workload is one service with its instances and the load on it.
 type workload struct {
 	service   string
 	instances int
@@ -19,19 +19,19 @@
 	path      string
 	rate      float64
 	body      int
-	once      string
+	keyHeader string
 }
 
-const onceHeader = "Idempotency-Key"
+const idempotencyHeader = "Idempotency-Key"
 
 var workloads = []workload{
 	{service: "catalogue", instances: 10, method: http.MethodGet, path: "/lookup/titanium", rate: 300},
-	{service: "checkout", instances: 6, method: http.MethodPost, path: "/payments/1", rate: 40, body: 512, once: onceHeader},
+	{service: "checkout", instances: 6, method: http.MethodPost, path: "/payments/1", rate: 40, body: 512, keyHeader: idempotencyHeader},
 	{service: "aftercare", instances: 6, method: http.MethodPost, path: "/photos/1", rate: 5, body: 1 << 20},
 	{service: "orders", instances: 8, method: http.MethodGet, path: "/orders/1", rate: 100},
 }
 
-// load runs all workloads at once.
+// load runs all workloads concurrently.
 func (d *demo) load(ctx context.Context) []caller.Summary {
 	summaries := make([]caller.Summary, len(workloads))
 	var group sync.WaitGroup
@@ -39,7 +39,7 @@
 		group.Go(func() {
 			summaries[n] = caller.Run(ctx, caller.Config{
 				EntryAddresses: d.cluster.PlatformAddresses(), Service: w.service, Zone: zones[n%len(zones)], Method: w.method,
-				Path: w.path, Rate: w.rate, Duration: d.cli.Duration, BodyBytes: w.body, IdempotencyHeader: w.once,
+				Path: w.path, Rate: w.rate, Duration: d.cli.Duration, BodyBytes: w.body, IdempotencyHeader: w.keyHeader,
 			})
 		})
 	}
--- a/bench/figure/figure.go
+++ b/bench/figure/figure.go
@@ -1,4 +1,5 @@
-// Package figure prints measured figures, one JSON line each.
+// Package figure encodes benchmark results as figures, one JSON line each, with
+// an optional bound that decides whether the result is acceptable.
 //
 // Usage:
 //
@@ -12,7 +13,7 @@
 	"github.com/snipebeam/snipebeam/bench/slope"
 )
 
-// Figure is one measured value, with the bound it is held against if any.
+// Figure is one measured value, with its bound if it has one.
 type Figure struct {
 	Area  string   `json:"area"`
 	Name  string   `json:"name"`
@@ -24,7 +25,8 @@
 	Fit   *Fit     `json:"fit,omitempty"`
 }
 
-// Fit is the line through measured points of which the value is the slope.
+// Fit is a linear regression over the measured points. The figure's value is its
+// slope.
 type Fit struct {
 	Intercept  float64      `json:"intercept"`
 	SlopeError float64      `json:"slopeError"`
@@ -37,19 +39,19 @@
 	return Figure{Area: area, Name: name, Value: value, Unit: unit}
 }
 
-// AtMost returns a figure that is good up to the bound.
+// AtMost returns a figure with an inclusive upper bound.
 func AtMost(area, name string, value float64, unit string, bound float64) Figure {
 	ok := value <= bound
 	return Figure{Area: area, Name: name, Value: value, Unit: unit, Bound: &bound, OK: &ok}
 }
 
-// AtLeast returns a figure that is good from the bound on.
+// AtLeast returns a figure with an inclusive lower bound.
 func AtLeast(area, name string, value float64, unit string, bound float64) Figure {
 	ok := value >= bound
 	return Figure{Area: area, Name: name, Value: value, Unit: unit, Bound: &bound, OK: &ok}
 }
 
-// Slope returns the slope of a fitted line with its points.
+// Slope returns the slope of a fitted line as a figure with the fit and its points.
 func Slope(area, name, unit string, line slope.Line, points []slope.Point) Figure {
 	f := Plain(area, name, line.Slope, unit)
 	f.Fit = &Fit{Intercept: line.Intercept, SlopeError: line.SlopeError, R2: line.R2}
@@ -59,7 +61,7 @@
 	return f
 }
 
-// WithNote returns the figure with a note.
+// WithNote returns a copy of the figure with a note.
 func (f Figure) WithNote(note string) Figure {
 	f.Note = note
 	return f
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet runs entry and control hosts as real processes, with
-// instances that announce themselves, and reads what the hosts spend.
+// Package fleet runs entry and control hosts as real processes with simulated
+// instances that announce themselves, and measures the network, processor and
+// memory use of the hosts.
 //
 // Usage:
 //
 //	f, err := fleet.Start(29, 3)
 //	defer f.Close()
-//	f.Announce(31)
+//	err = f.Announce(31)
 //	before := f.Usage()
-//	spent := f.Usage().Since(before)
+//	rate := f.Usage().Since(before)
 package fleet
 
 import (
@@ -37,23 +38,24 @@
 // Fleet is a running set of hosts.
 type Fleet struct {
 	*cluster.Cluster
-	dir       string
-	rules     []wire.Rules
-	client    *http.Client
-	version   uint64
-	instances *announcers
-	kept      bool
+	dir        string
+	rules      []wire.Rules
+	client     *http.Client
+	version    uint64
+	instances  *announcers
+	keepFolder bool
 }
 
-// Start builds the programs and runs the hosts until all are ready.
+// Start builds the programs, starts the hosts and waits until all are ready. If
+// that fails, it keeps the folder with the logs.
 func Start(entries, controls int) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "snipebeam-bench-")
 	if err != nil {
-		return nil, errors.Wrap(err, "make folder")
+		return nil, errors.Wrap(err, "create folder")
 	}
 	f := &Fleet{dir: dir, client: &http.Client{Timeout: callLimit}}
 	f.instances = newAnnouncers(f)
-	if err := f.start(entries, controls); err != nil {
+	if err := f.startHosts(entries, controls); err != nil {
 		f.Keep()
 		f.Close()
 		return nil, errors.Wrapf(err, "start hosts (logs are in %s)", dir)
@@ -61,7 +63,7 @@
 	return f, nil
 }
 
-func (f *Fleet) start(entries, controls int) error {
+func (f *Fleet) startHosts(entries, controls int) error {
 	for _, program := range []string{"entry", "control"} {
 		build := exec.Command("go", "build", "-o", filepath.Join(f.dir, "snipebeam-"+program), "./"+program)
 		if out, err := build.CombinedOutput(); err != nil {
@@ -87,29 +89,30 @@
 	return f.WaitReady()
 }
 
-// Keep leaves the folder with the hosts' logs when the fleet is closed.
-func (f *Fleet) Keep() { f.kept = true }
+// Keep makes Close leave the folder with the hosts' logs in place.
+func (f *Fleet) Keep() { f.keepFolder = true }
 
-// Close ends all processes and removes the folder.
+// Close stops all processes and removes the folder, unless Keep was called.
 func (f *Fleet) Close() {
 	f.instances.stop()
 	if f.Cluster != nil {
 		f.Cluster.Close()
 	}
-	if !f.kept {
+	if !f.keepFolder {
 		_ = os.RemoveAll(f.dir)
 	}
 }
 
-// Accepted is one accepted version.
+// Accepted is a submission that was accepted.
 type Accepted struct {
 	Version    uint64
 	SentAt     time.Time
-	AcceptedAt time.Time // when the answer came
+	AcceptedAt time.Time // when the response arrived
 }
 
-// Submit submits a rules file that differs from the last one in one line. It
-// sends the same submission to the control hosts in turn until one answers.
+// Submit submits a rules file that differs from the previous one in one line. It
+// retries the same submission id on the control hosts in rotation until one
+// responds, so a retry cannot create a second version.
 func (f *Fleet) Submit() (Accepted, error) {
 	req := &wire.SubmitRequest{
 		SubmissionId: uuid.NewString(), BaseVersion: f.version, Text: rulesText(f.version + 1), Author: "bench", Reason: "measure",
@@ -130,7 +133,7 @@
 		f.version = accepted.Version
 		return accepted, nil
 	}
-	return accepted, errors.Errorf("no control host took a submission within %s", submitLimit)
+	return accepted, errors.Errorf("no control host accepted a submission within %s", submitLimit)
 }
 
 func rulesText(version uint64) string {
@@ -142,7 +145,7 @@
 	return text.String()
 }
 
-// Leader returns the control host that leads.
+// Leader returns the current leader of the control group.
 func (f *Fleet) Leader() (*cluster.Host, error) {
 	for _, one := range f.rules {
 		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
@@ -157,11 +160,11 @@
 			}
 		}
 	}
-	return nil, errors.New("no control host names a leader")
+	return nil, errors.New("no control host reports a leader")
 }
 
-// each calls a function for every entry host at the same time.
-func (f *Fleet) each(call func(n int, host *cluster.Host)) {
+// forEachEntry calls a function for every entry host concurrently.
+func (f *Fleet) forEachEntry(call func(n int, host *cluster.Host)) {
 	var group sync.WaitGroup
 	for n, host := range f.Entries {
 		group.Go(func() { call(n, host) })
--- a/bench/fleet/inforce.go
+++ b/bench/fleet/inforce.go
@@ -10,22 +10,22 @@
 	"github.com/snipebeam/snipebeam/bench/cluster"
 )
 
-// logTime is the form of the times in the hosts' logs.
-const logTime = "2006-01-02T15:04:05.000000Z07:00"
+// logTimeFormat is the layout of the timestamps in the hosts' logs.
+const logTimeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// maxLogLine bounds a line of a host's log.
+// maxLogLine is the maximum length of a log line, in bytes.
 const maxLogLine = 1 << 20
 
-// logLine is what is read of a line.
+// logLine holds the fields of a log line that are evaluated.
 type logLine struct {
 	At      string `json:"@timestamp"`
 	Message string `json:"@message"`
 	Version uint64 `json:"version"`
 }
 
-// InForce returns when each version came in force on the last of the entry
-// hosts, by the hosts' logs. A host that went over a version by a later one
-// counts from the later one. A version that fell back on any host is an error.
+// InForce returns the time at which each version was in force on all entry hosts,
+// according to their logs. On a host that skipped a version, the next later one
+// counts. It returns an error if a host went back to an earlier version.
 func (f *Fleet) InForce(versions []uint64) (map[uint64]time.Time, error) {
 	last := map[uint64]time.Time{}
 	for _, host := range f.Entries {
@@ -34,9 +34,9 @@
 			return nil, err
 		}
 		for _, version := range versions {
-			at, ok := reached(version, times, order)
+			at, ok := timeOfVersion(version, times, order)
 			if !ok {
-				return nil, errors.Errorf("%s never had version %d or a later one", host.Name(), version)
+				return nil, errors.Errorf("%s did not reach version %d or a later one", host.Name(), version)
 			}
 			if at.After(last[version]) {
 				last[version] = at
@@ -46,7 +46,9 @@
 	return last, nil
 }
 
-func reached(version uint64, times map[uint64]time.Time, order []uint64) (time.Time, bool) {
+// timeOfVersion returns the time of the first version that is not below the
+// given one.
+func timeOfVersion(version uint64, times map[uint64]time.Time, order []uint64) (time.Time, bool) {
 	for _, v := range order {
 		if v >= version {
 			return times[v], true
@@ -55,6 +57,8 @@
 	return time.Time{}, false
 }
 
+// versionTimes returns the time at which each version came into force on a host,
+// and the versions in log order.
 func versionTimes(host *cluster.Host) (map[uint64]time.Time, []uint64, error) {
 	file, err := os.Open(host.LogPath())
 	if err != nil {
@@ -69,12 +73,12 @@
 		if json.Unmarshal(scanner.Bytes(), &line) != nil || line.Message != "version in force" {
 			continue
 		}
-		at, err := time.Parse(logTime, line.At)
+		at, err := time.Parse(logTimeFormat, line.At)
 		if err != nil {
-			return nil, nil, errors.Wrap(err, "read time")
+			return nil, nil, errors.Wrap(err, "parse timestamp")
 		}
 		if len(order) > 0 && line.Version <= order[len(order)-1] {
-			return nil, nil, errors.Errorf("%s went from version %d to %d", host.Name(), order[len(order)-1], line.Version)
+			return nil, nil, errors.Errorf("%s rolled back from version %d to %d", host.Name(), order[len(order)-1], line.Version)
 		}
 		times[line.Version] = at
 		order = append(order, line.Version)
--- a/bench/fleet/instance.go
+++ b/bench/fleet/instance.go
@@ -16,18 +16,19 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// heartbeat is how often an instance renews its announcement: a third of the
-// lease.
-const heartbeat = time.Second
+// heartbeatInterval is how often an instance renews its announcement, a third of
+// the lease.
+const heartbeatInterval = time.Second
 
-// announcers are instances that announce themselves from this process.
+// announcers simulates instances that announce themselves to the entry hosts from
+// this process.
 type announcers struct {
-	fleet  *Fleet
-	client *http.Client
-	bytes  atomic.Int64 // of HTTP, both ways
-	cancel context.CancelFunc
-	ctx    context.Context
-	group  sync.WaitGroup
+	fleet     *Fleet
+	client    *http.Client
+	httpBytes atomic.Int64 // HTTP bytes sent and received
+	cancel    context.CancelFunc
+	ctx       context.Context
+	group     sync.WaitGroup
 
 	mu       sync.Mutex
 	count    int
@@ -41,27 +42,27 @@
 		MaxIdleConnsPerHost: 64,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-			return &counted{Conn: conn, bytes: &a.bytes}, err
+			return &countingConn{Conn: conn, bytes: &a.httpBytes}, err
 		},
 	}}
 	return a
 }
 
-// counted counts the bytes of a link.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read counts received bytes.
-func (c *counted) Read(b []byte) (int, error) {
+// Read reads from the connection and counts the received bytes.
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts sent bytes.
-func (c *counted) Write(b []byte) (int, error) {
+// Write writes to the connection and counts the sent bytes.
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -75,7 +76,7 @@
 func instanceName(n int) string { return fmt.Sprintf("i-%d", n) }
 
 // Announce adds instances until there are n, and waits until every entry host
-// knows them.
+// lists all of them.
 func (f *Fleet) Announce(n int) error {
 	a := f.instances
 	for ; a.count < n; a.count++ {
@@ -84,27 +85,28 @@
 	}
 	deadline := time.Now().Add(submitLimit * 3)
 	for time.Now().Before(deadline) {
-		if f.known() == n {
+		if f.minKnownInstances() == n {
 			return nil
 		}
 		time.Sleep(10 * retryPause)
 	}
-	return errors.Errorf("some entry host knows %d of %d instances", f.known(), n)
+	return errors.Errorf("an entry host lists only %d of %d instances", f.minKnownInstances(), n)
 }
 
-// known returns the least number of instances that any entry host knows.
-func (f *Fleet) known() int {
+// minKnownInstances returns the smallest number of instances that an entry host
+// reports in its metrics.
+func (f *Fleet) minKnownInstances() int {
 	counts := make([]int, len(f.Entries))
-	f.each(func(n int, host *cluster.Host) { counts[n] = int(f.scrape(host)["snipebeam_instances"]) })
-	least := counts[0]
+	f.forEachEntry(func(n int, host *cluster.Host) { counts[n] = int(f.scrape(host)["snipebeam_instances"]) })
+	smallest := counts[0]
 	for _, count := range counts {
-		least = min(least, count)
+		smallest = min(smallest, count)
 	}
-	return least
+	return smallest
 }
 
 func (a *announcers) run(n int) {
-	ticker := time.NewTicker(heartbeat)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for a.ctx.Err() == nil {
 		_ = a.announce(n)
@@ -115,7 +117,7 @@
 	}
 }
 
-// announce renews instance n at its entry host.
+// announce renews the lease of instance n at its entry host.
 func (a *announcers) announce(n int) error {
 	a.mu.Lock()
 	draining := a.draining[instanceName(n)]
@@ -130,7 +132,7 @@
 	host := a.fleet.Entries[n%len(a.fleet.Entries)]
 	req, err := http.NewRequestWithContext(a.ctx, http.MethodPut, "http://"+host.Platform+"/v1/instances/"+instanceName(n), bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make announcement")
+		return errors.Wrap(err, "create announcement request")
 	}
 	response, err := a.client.Do(req)
 	if err != nil {
@@ -141,8 +143,8 @@
 	return json.NewDecoder(response.Body).Decode(&lease)
 }
 
-// Drain lets an instance drain, or not, and returns how long it took from its
-// announcement until every entry host saw it.
+// Drain changes the draining state of an instance and returns the time from its
+// announcement until every entry host has the new state.
 func (f *Fleet) Drain(n int, draining bool) (time.Duration, error) {
 	f.instances.mu.Lock()
 	f.instances.draining[instanceName(n)] = draining
@@ -152,7 +154,7 @@
 		return 0, err
 	}
 	took := make([]time.Duration, len(f.Entries))
-	f.each(func(at int, host *cluster.Host) { took[at] = f.awaitDraining(host, n, draining, start) })
+	f.forEachEntry(func(at int, host *cluster.Host) { took[at] = f.waitDraining(host, n, draining, start) })
 	worst := time.Duration(0)
 	for _, one := range took {
 		worst = max(worst, one)
@@ -160,14 +162,14 @@
 	return worst, nil
 }
 
-func (f *Fleet) awaitDraining(host *cluster.Host, n int, draining bool, start time.Time) time.Duration {
+func (f *Fleet) waitDraining(host *cluster.Host, n int, draining bool, start time.Time) time.Duration {
 	entry := wire.NewEntryProtobufClient("http://"+host.Peers, f.client)
 	req := &wire.InstancesRequest{Service: fmt.Sprintf("s%d", n%ruleCount)}
 	for time.Since(start) < submitLimit {
 		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
 		response, err := entry.Instances(ctx, req)
 		cancel()
-		if err == nil && says(response, instanceName(n), draining) {
+		if err == nil && reportsDraining(response, instanceName(n), draining) {
 			break
 		}
 		time.Sleep(retryPause)
@@ -175,7 +177,9 @@
 	return time.Since(start)
 }
 
-func says(response *wire.InstancesResponse, id string, draining bool) bool {
+// reportsDraining reports whether an instance is listed with the given draining
+// state.
+func reportsDraining(response *wire.InstancesResponse, id string, draining bool) bool {
 	for _, one := range response.GetInstances() {
 		if one.GetInstance().GetId() == id {
 			return one.GetInstance().GetDraining() == draining
--- a/bench/fleet/usage.go
+++ b/bench/fleet/usage.go
@@ -11,49 +11,51 @@
 	"github.com/snipebeam/snipebeam/bench/cluster"
 )
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is the number of clock ticks in a second of processor time in
+// /proc (USER_HZ).
 const ticksPerSecond = 100
 
-// Usage is what each entry host and each control host spent until now.
+// Usage holds the cumulative resource use of each entry and control host.
 type Usage struct {
 	At                time.Time
-	Bytes             []float64 // of the protocols, sent and received, each entry host
-	AnnouncementBytes float64   // bytes of all announcements
-	Ticks             []float64 // processor time of each entry host
+	Bytes             []float64 // bytes that each entry host sent and received for gossip and watch
+	AnnouncementBytes float64   // bytes of all announcements, sent and received
+	Ticks             []float64 // processor time of each entry host, in clock ticks
 	ResidentMB        []float64
 	Control           ControlUsage
 }
 
-// ControlUsage sums up the control hosts.
+// ControlUsage holds the resource use of each control host.
 type ControlUsage struct {
 	Ticks      []float64
 	ResidentMB []float64
 }
 
-// Rate is spending per second; of several hosts the largest.
+// Rate is resource use per second. A value is that of the host with the largest
+// use, unless it is a mean.
 type Rate struct {
-	BytesPerSecond     float64 // largest of a host, with its share of the announcements
+	BytesPerSecond     float64 // includes the host's share of the announcements
 	MeanBytesPerSecond float64
-	CorePercent        float64 // largest of a host
+	CorePercent        float64
 	MeanCorePercent    float64
 	ResidentMB         float64
 	ControlCorePercent float64
 	ControlResidentMB  float64
 }
 
-// protocolBytes are the counters of the protocols between hosts.
+// protocolBytes names the counters of the bytes that hosts exchange.
 var protocolBytes = []string{
 	"snipebeam_gossip_sent_bytes_total", "snipebeam_gossip_received_bytes_total",
 	"snipebeam_watch_sent_bytes_total", "snipebeam_watch_received_bytes_total",
 }
 
-// Usage reads the hosts' own counters and /proc.
+// Usage reads the hosts' metrics and /proc.
 func (f *Fleet) Usage() Usage {
 	u := Usage{
 		At: time.Now(), Bytes: make([]float64, len(f.Entries)), Ticks: make([]float64, len(f.Entries)),
-		ResidentMB: make([]float64, len(f.Entries)), AnnouncementBytes: float64(f.instances.bytes.Load()),
+		ResidentMB: make([]float64, len(f.Entries)), AnnouncementBytes: float64(f.instances.httpBytes.Load()),
 	}
-	f.each(func(n int, host *cluster.Host) {
+	f.forEachEntry(func(n int, host *cluster.Host) {
 		for _, name := range protocolBytes {
 			u.Bytes[n] += f.scrape(host)[name]
 		}
@@ -66,7 +68,7 @@
 	return u
 }
 
-// Since returns the rates between two readings.
+// Since returns the rates between an earlier reading and this one.
 func (u Usage) Since(before Usage) Rate {
 	seconds := u.At.Sub(before.At).Seconds()
 	announcing := (u.AnnouncementBytes - before.AnnouncementBytes) / seconds / float64(len(u.Bytes))
@@ -87,7 +89,8 @@
 	return r
 }
 
-// scrape returns the samples of a host's metrics by their names.
+// scrape returns the samples of a host's metrics by name, none if it cannot be
+// reached.
 func (f *Fleet) scrape(host *cluster.Host) map[string]float64 {
 	samples := map[string]float64{}
 	response, err := f.client.Get("http://" + host.Platform + "/metrics")
@@ -105,20 +108,20 @@
 	return samples
 }
 
-// processTicks returns the processor time of a process, user and system.
+// processTicks returns the user and system time of a process, in clock ticks.
 func processTicks(pid int) float64 {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return 0
 	}
-	const user, system = 11, 12 // after the name in brackets
+	const user, system = 11, 12 // fields of /proc/PID/stat after the process name in brackets
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
 	u, _ := strconv.ParseFloat(fields[user], 64)
 	s, _ := strconv.ParseFloat(fields[system], 64)
 	return u + s
 }
 
-// residentMB returns the resident memory of a process.
+// residentMB returns the resident set size of a process in MiB.
 func residentMB(pid int) float64 {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
--- a/bench/membership/membership.go
+++ b/bench/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership runs the membership protocol of many entry hosts in
-// virtual time, without sockets, to measure how its cost and its delay grow.
+// Package membership simulates the gossip protocol of many entry hosts in virtual
+// time, without sockets, to measure how its bandwidth and convergence time grow
+// with the number of hosts and instances.
 //
 // Usage:
 //
@@ -21,14 +22,15 @@
 )
 
 const (
-	step          = 10 * time.Millisecond
-	maxDelayMs    = 3
-	overheadBytes = 45 // IP, UDP and authentication
-	heartbeat     = time.Second
-	drainLimit    = 20 * time.Second
+	step              = 10 * time.Millisecond
+	maxLatencyMs      = 3
+	overheadBytes     = 45 // IP, UDP and authentication
+	heartbeatInterval = time.Second
+	drainLimit        = 20 * time.Second
 )
 
-// Group is a set of entry hosts that know each other from the start.
+// Group is a set of simulated entry hosts, all members of one cluster from the
+// start.
 type Group struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -40,7 +42,8 @@
 	instances []*wire.Instance
 }
 
-// New returns a group in which every host knows all hosts and instances.
+// New returns a group in which every host starts with the records of all hosts
+// and instances.
 func New(hosts, instances int, seed uint64) *Group {
 	g := &Group{random: rand.New(rand.NewPCG(seed, 1)), byName: map[string]int{}}
 	var all []*wire.GossipHost
@@ -66,26 +69,27 @@
 	return g
 }
 
-// SetLoss loses a share of the datagrams from now on.
+// SetLoss sets the share of datagrams that are dropped from now on.
 func (g *Group) SetLoss(share float64) { g.loss = share }
 
-// Run lets virtual time pass.
+// Run advances virtual time.
 func (g *Group) Run(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += step
 		g.deliver()
 		for n, core := range g.cores {
 			if (g.now/step+time.Duration(n))%(gossip.TickInterval/step) == 0 {
-				g.carry(core.Tick(g.now))
+				g.transmit(core.Tick(g.now))
 			}
 		}
-		g.renew()
+		g.renewLeases()
 	}
 }
 
-// renew lets a part of the instances announce themselves in each step.
-func (g *Group) renew() {
-	steps := int(heartbeat / step)
+// renewLeases announces a part of the instances in each step, so that each
+// instance renews its lease once per heartbeatInterval.
+func (g *Group) renewLeases() {
+	steps := int(heartbeatInterval / step)
 	for n := int(g.now/step) % steps; n < len(g.instances); n += steps {
 		g.announce(n)
 	}
@@ -94,17 +98,19 @@
 func (g *Group) announce(n int) {
 	out, err := g.cores[n%len(g.cores)].Announce(g.now, g.instances[n])
 	if err == nil {
-		g.carry(out)
+		g.transmit(out)
 	}
 }
 
-func (g *Group) carry(out gossip.Output) {
+// transmit queues the datagrams of an output with a random latency, except those
+// that are dropped.
+func (g *Group) transmit(out gossip.Output) {
 	for _, send := range out.Sends {
 		g.sent += proto.Size(send.Datagram) + overheadBytes
 		if g.random.Float64() < g.loss {
 			continue
 		}
-		delay := time.Duration(1+g.random.IntN(maxDelayMs)) * time.Millisecond
+		delay := time.Duration(1+g.random.IntN(maxLatencyMs)) * time.Millisecond
 		heap.Push(&g.packets, packet{at: g.now + delay, send: send})
 	}
 }
@@ -112,34 +118,35 @@
 func (g *Group) deliver() {
 	for len(g.packets) > 0 && g.packets[0].at <= g.now {
 		p := heap.Pop(&g.packets).(packet)
-		if to, known := g.byName[p.send.Address]; known {
-			g.carry(g.cores[to].Receive(g.now, p.send.Datagram))
+		if to, ok := g.byName[p.send.Address]; ok {
+			g.transmit(g.cores[to].Receive(g.now, p.send.Datagram))
 		}
 	}
 }
 
-// BytesPerSecond returns what a host sends and receives, on average, while the
-// group runs for a time.
+// BytesPerSecond runs the group for a time and returns the mean bytes per second
+// that a host sends and receives.
 func (g *Group) BytesPerSecond(d time.Duration) float64 {
 	before := g.sent
 	g.Run(d)
 	return 2 * float64(g.sent-before) / float64(len(g.cores)) / d.Seconds()
 }
 
-// Drain lets an instance drain and returns the time until all hosts see it.
+// Drain sets an instance to draining and returns the time until all hosts have
+// the change, at most drainLimit.
 func (g *Group) Drain(n int) time.Duration {
 	next := proto.Clone(g.instances[n]).(*wire.Instance)
 	next.Draining = true
 	g.instances[n] = next
 	start := g.now
 	g.announce(n)
-	for g.now-start < drainLimit && !g.seen(next.GetId()) {
+	for g.now-start < drainLimit && !g.drainSeen(next.GetId()) {
 		g.Run(5 * step)
 	}
 	return g.now - start
 }
 
-func (g *Group) seen(id string) bool {
+func (g *Group) drainSeen(id string) bool {
 	for _, core := range g.cores {
 		if !core.Instance(id).GetDraining() {
 			return false
@@ -148,7 +155,7 @@
 	return true
 }
 
-// packet is a datagram on its way.
+// packet is a datagram in flight and the time of its delivery.
 type packet struct {
 	at   time.Duration
 	send gossip.Send
@@ -156,19 +163,19 @@
 
 type packets []packet
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (p packets) Len() int { return len(p) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (p packets) Less(i, j int) bool { return p[i].at < p[j].at }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (p packets) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (p *packets) Push(x any) { *p = append(*p, x.(packet)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (p *packets) Pop() any {
 	last := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
--- a/bench/queue/queue.go
+++ b/bench/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue is a small fake of the requests behind one instance, or behind
-// a pool of slots, in virtual time: arrivals at a changing rate, lognormal
-// service, slots that can slow down.
+// Package queue simulates the queue of one instance, or of a pool of slots, in
+// virtual time: Poisson arrivals at a varying rate, lognormal service times, and
+// slots that can slow down.
 //
 // Usage:
 //
@@ -17,86 +17,90 @@
 	"github.com/snipebeam/snipebeam/entry/backlog"
 )
 
-// Config describes the arrivals and the slots.
+// Config describes the arrival process and the slots.
 type Config struct {
 	Slots int
-	Mean  time.Duration // of a request's service
+	Mean  time.Duration // mean service time
 	Sigma float64       // of the lognormal service time
-	// LongShare is the share of requests that take LongFactor times as long.
+	// LongShare is the share of requests whose service takes LongFactor times as
+	// long.
 	LongShare  float64
 	LongFactor float64
-	// Rate returns the arrivals a second at a time since the start.
+	// Rate returns the arrivals per second at a time since the start.
 	Rate func(at time.Duration) float64
-	// MaxRate bounds Rate.
+	// MaxRate is an upper bound of Rate.
 	MaxRate float64
-	// Slowdown returns the factor on service times, nil for none.
+	// Slowdown returns the factor on service times; nil stands for none.
 	Slowdown func(at time.Duration) float64
 }
 
-// start is the virtual time of the first arrival's clock.
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the wall-clock time at virtual time zero.
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Queue is the fake.
+// Queue is a simulated queue with its slots.
 type Queue struct {
-	cfg     Config
-	random  *rand.Rand
-	now     time.Duration
-	nextIn  time.Duration
-	waiting []time.Duration // arrival times
-	running departures
-
-	floor       int
+	cfg         Config
+	random      *rand.Rand
+	now         time.Duration
+	nextArrival time.Duration
+	waiting     []time.Duration // arrival times
+	running     departures
+
+	minPending  int
 	arrivals    int
 	completions int
-	answers     []time.Duration // times to an answer in the current window
-	typical     time.Duration
+	latencies   []time.Duration // response times in the current window
+	p99         time.Duration
 }
 
-// New returns a queue with a seed of its own.
+// New returns a queue with a random source of its own, so that a seed always gives
+// the same run.
 func New(cfg Config, seed uint64) *Queue {
 	q := &Queue{cfg: cfg, random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
-	q.nextIn = q.gap()
+	q.nextArrival = q.interArrival()
 	return q
 }
 
-// Now returns the virtual time since the start.
+// Now returns the virtual time that has passed since the start.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Pending returns the requests that wait or are in service.
+// Pending returns the number of requests that are queued or in service.
 func (q *Queue) Pending() int { return len(q.waiting) + len(q.running) }
 
-func (q *Queue) gap() time.Duration {
+func (q *Queue) interArrival() time.Duration {
 	return time.Duration(q.random.ExpFloat64() / q.cfg.MaxRate * float64(time.Second))
 }
 
-// Sample advances the time by an interval and returns what happened in it.
+// Sample advances the time by an interval and returns the statistics of that
+// interval.
 func (q *Queue) Sample(interval time.Duration) backlog.Sample {
 	until := q.now + interval
-	q.floor, q.arrivals, q.completions = q.Pending(), 0, 0
+	q.minPending, q.arrivals, q.completions = q.Pending(), 0, 0
 	for q.step(until) {
 	}
 	q.now = until
 	return backlog.Sample{
-		At: start.Add(q.now), Pending: q.Pending(), MinPending: q.floor, Arrivals: q.arrivals,
-		Completions: q.completions, OldestAge: q.oldest(), ResponseP99: q.quantile(),
+		At: startTime.Add(q.now), Pending: q.Pending(), MinPending: q.minPending, Arrivals: q.arrivals,
+		Completions: q.completions, OldestAge: q.oldestAge(), ResponseP99: q.latencyP99(),
 	}
 }
 
-// step runs the next event before a time, if there is one.
+// step processes the next event up to a time and reports whether there was one.
+// Arrivals are drawn at MaxRate and thinned to Rate.
 func (q *Queue) step(until time.Duration) bool {
-	if len(q.running) > 0 && q.running[0].at <= min(q.nextIn, until) {
+	if len(q.running) > 0 && q.running[0].at <= min(q.nextArrival, until) {
 		q.depart()
 		return true
 	}
-	if q.nextIn > until {
+	if q.nextArrival > until {
 		return false
 	}
-	q.now = q.nextIn
-	q.nextIn += q.gap()
+	q.now = q.nextArrival
+	q.nextArrival += q.interArrival()
 	if q.random.Float64()*q.cfg.MaxRate < q.cfg.Rate(q.now) {
 		q.arrivals++
 		q.waiting = append(q.waiting, q.now)
-		q.fill()
+		q.startWaiting()
 	}
 	return true
 }
@@ -105,12 +109,12 @@
 	done := heap.Pop(&q.running).(departure)
 	q.now = done.at
 	q.completions++
-	q.answers = append(q.answers, done.at-done.arrived)
-	q.floor = min(q.floor, q.Pending())
-	q.fill()
+	q.latencies = append(q.latencies, done.at-done.arrived)
+	q.minPending = min(q.minPending, q.Pending())
+	q.startWaiting()
 }
 
-func (q *Queue) fill() {
+func (q *Queue) startWaiting() {
 	for len(q.running) < q.cfg.Slots && len(q.waiting) > 0 {
 		heap.Push(&q.running, departure{at: q.now + q.service(), arrived: q.waiting[0]})
 		q.waiting = q.waiting[1:]
@@ -129,7 +133,7 @@
 	return time.Duration(d)
 }
 
-func (q *Queue) oldest() time.Duration {
+func (q *Queue) oldestAge() time.Duration {
 	oldest := q.now
 	for _, one := range q.running {
 		oldest = min(oldest, one.arrived)
@@ -140,16 +144,17 @@
 	return q.now - oldest
 }
 
-// typicalWindow is how many answers the 99th percentile is taken of.
-const typicalWindow = 500
+// p99Window is the number of responses for each estimate of the 99th percentile.
+const p99Window = 500
 
-// quantile returns the 99th percentile of the time to an answer.
-func (q *Queue) quantile() time.Duration {
-	if len(q.answers) >= typicalWindow {
-		q.typical = percentile99(q.answers)
-		q.answers = q.answers[:0]
+// latencyP99 returns the 99th percentile of the response time in the last complete
+// window.
+func (q *Queue) latencyP99() time.Duration {
+	if len(q.latencies) >= p99Window {
+		q.p99 = percentile99(q.latencies)
+		q.latencies = q.latencies[:0]
 	}
-	return q.typical
+	return q.p99
 }
 
 type departure struct {
@@ -163,10 +168,10 @@
 func (h departures) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h departures) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push appends an element for container/heap.
+// Push implements heap.Interface.
 func (h *departures) Push(x any) { *h = append(*h, x.(departure)) }
 
-// Pop removes the last element for container/heap.
+// Pop implements heap.Interface.
 func (h *departures) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/bench/route/virtual/central.go
+++ b/bench/route/virtual/central.go
@@ -1,22 +1,23 @@
 package virtual
 
-// RunCentralQueue runs the scenario's arrivals through one shared queue with perfect
-// knowledge: a request takes the free slot that answers first, or the first slot
-// that becomes free. While it waits, it travels.
+// RunCentralQueue runs the arrivals of a scenario through one shared queue with
+// perfect knowledge of all instances, as the ideal to compare policies with. A
+// request takes the free slot that would respond first, or else the first slot
+// that becomes free. Its network latency overlaps with its time in the queue.
 func RunCentralQueue(s Scenario) *Result {
 	s = s.WithDefaults()
 	c := &clock{}
 	all := s.upstreams(c)
 	result := newResult(s)
-	q := &central{clock: c, upstreams: all, result: result, reserved: make([]int, s.Instances), scenario: s}
+	q := &centralQueue{clock: c, upstreams: all, result: result, reserved: make([]int, s.Instances), scenario: s}
 	for _, one := range s.arrivals() {
 		c.at(one.at, func() { q.arrive(one) })
 	}
-	c.run(int64(s.Duration) + drainTime)
+	c.run(int64(s.Duration) + drainPeriod)
 	return result
 }
 
-type central struct {
+type centralQueue struct {
 	clock     *clock
 	upstreams []*upstream
 	result    *Result
@@ -25,20 +26,21 @@
 	reserved  []int
 }
 
-// delay is the way to an instance; the queue stands in the first zone.
-func (q *central) delay(n int) int64 {
+// delay returns the one-way latency to an instance; the queue is in the first
+// zone.
+func (q *centralQueue) delay(n int) int64 {
 	if q.upstreams[n].zone == 0 {
 		return int64(q.scenario.SameZone)
 	}
 	return int64(q.scenario.OtherZone)
 }
 
-// cost is the time that a request would take in a free slot.
-func (q *central) cost(n int, a arrival) float64 {
+// cost returns the response time of a request in a free slot.
+func (q *centralQueue) cost(n int, a arrival) float64 {
 	return 2*float64(q.delay(n)) + a.work/q.upstreams[n].rate()
 }
 
-func (q *central) arrive(a arrival) {
+func (q *centralQueue) arrive(a arrival) {
 	best := -1
 	for n, u := range q.upstreams {
 		free := q.reserved[n] < u.slots
@@ -50,11 +52,11 @@
 		q.queue = append(q.queue, a)
 		return
 	}
-	q.take(best, a)
+	q.assign(best, a)
 }
 
-// take reserves a slot and starts when the request has arrived there.
-func (q *central) take(n int, a arrival) {
+// assign reserves a slot and starts the request when it arrives at the instance.
+func (q *centralQueue) assign(n int, a arrival) {
 	q.reserved[n]++
 	start := max(q.clock.now, a.at+q.delay(n))
 	q.clock.at(start, func() {
@@ -62,13 +64,13 @@
 	})
 }
 
-func (q *central) finish(n int, a arrival) {
-	q.result.answer(a.at, q.clock.now+q.delay(n), false)
+func (q *centralQueue) finish(n int, a arrival) {
+	q.result.recordResponse(a.at, q.clock.now+q.delay(n), false)
 	q.reserved[n]--
 	if len(q.queue) == 0 {
 		return
 	}
 	next := q.queue[0]
 	q.queue = q.queue[1:]
-	q.take(n, next)
+	q.assign(n, next)
 }
--- a/bench/route/virtual/clock.go
+++ b/bench/route/virtual/clock.go
@@ -1,16 +1,18 @@
-// Package virtual runs the real routing code of entry hosts against fakes of
-// callers, links and instances in virtual time, with fixed seeds.
+// Package virtual is a discrete-event simulation that runs the real routing code
+// of entry hosts against simulated callers, network and instances in virtual
+// time. Runs with the same seed give the same result.
 //
 // Usage:
 //
 //	result := virtual.Run(virtual.Scenario{Load: 0.85, Policy: route.NewPowerOfTwo})
-//	central := virtual.Central(scenario)
-//	ratio := result.P(0.99) / central.P(0.99)
+//	central := virtual.RunCentralQueue(scenario)
+//	ratio := result.Quantile(0.99) / central.Quantile(0.99)
 package virtual
 
 import "container/heap"
 
-// clock runs events in the order of their times.
+// clock is the event queue of a simulation. Events at the same time run in the
+// order in which they were scheduled.
 type clock struct {
 	now    int64 // nanoseconds
 	seq    uint64
@@ -23,16 +25,16 @@
 	run func()
 }
 
-// at runs a function at a time.
+// at schedules a function at a time.
 func (c *clock) at(t int64, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: t, seq: c.seq, run: run})
 }
 
-// after runs a function after a delay.
+// after schedules a function after a delay.
 func (c *clock) after(d int64, run func()) { c.at(c.now+d, run) }
 
-// run runs events until none are left or the end has passed.
+// run processes events until none are left or the next one is after the end.
 func (c *clock) run(end int64) {
 	for len(c.events) > 0 {
 		next := heap.Pop(&c.events).(event)
@@ -54,10 +56,10 @@
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push adds an event at the end.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop removes the last event.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
--- a/bench/route/virtual/probes.go
+++ b/bench/route/virtual/probes.go
@@ -7,50 +7,52 @@
 	"github.com/snipebeam/snipebeam/world/contract"
 )
 
-// Times of probes.
+// Probe settings.
 const (
-	probeInterval = int64(20 * time.Millisecond)
-	probeWindow   = time.Minute
-	probeMost     = 20 * time.Millisecond
-	probeStale    = 50 * time.Millisecond
-	hostsRunFor   = int64(time.Hour) // before the scenario starts
+	probeInterval     = int64(20 * time.Millisecond)
+	probeBudgetWindow = time.Minute
+	probeMaxDuration  = 20 * time.Millisecond
+	probeStaleAfter   = 50 * time.Millisecond
+	hostUptime        = int64(time.Hour) // of the hosts when the scenario starts
 )
 
-// startProbes runs the real planner on every host.
-func (f *fleet) startProbes() {
-	if f.scenario.ProbeBudget == 0 {
+// startProbes schedules the real probe planner on every host, if the scenario has
+// a probe budget.
+func (sim *simulation) startProbes() {
+	if sim.scenario.ProbeBudget == 0 {
 		return
 	}
-	terms := contract.NewService(service, contract.WithProbeBudget(f.scenario.ProbeBudget))
-	settings := probe.Config{Hosts: f.scenario.Hosts, Window: probeWindow, MaxDuration: probeMost, StaleAfter: probeStale}
-	for _, h := range f.hosts {
-		planner := probe.NewPlanner(settings, h.views, func(string) *contract.Service { return terms }, epoch-hostsRunFor)
+	probed := contract.NewService(service, contract.WithProbeBudget(sim.scenario.ProbeBudget))
+	cfg := probe.Config{Hosts: sim.scenario.Hosts, Window: probeBudgetWindow, MaxDuration: probeMaxDuration, StaleAfter: probeStaleAfter}
+	for _, h := range sim.hosts {
+		planner := probe.NewPlanner(cfg, h.views, func(string) *contract.Service { return probed }, epoch-hostUptime)
 		var tick func()
 		tick = func() {
-			for _, target := range planner.Due(epoch + f.clock.now) {
-				f.probe(h, target)
+			for _, target := range planner.Due(epoch + sim.clock.now) {
+				sim.probe(h, target)
 			}
-			if f.clock.now < int64(f.scenario.Duration) {
-				f.clock.after(probeInterval, tick)
+			if sim.clock.now < int64(sim.scenario.Duration) {
+				sim.clock.after(probeInterval, tick)
 			}
 		}
-		f.clock.at(0, tick)
+		sim.clock.at(0, tick)
 	}
 }
 
-// probe takes a slot of the instance for the cost of a probe.
-func (f *fleet) probe(h *host, target probe.Target) {
-	n := f.index(h, target.Member.Instance().ID())
-	u := f.upstreams[n]
-	sentAt := f.clock.now
-	f.clock.after(f.delay(h, n), func() {
-		u.serve(float64(f.scenario.ProbeCost)*u.rate(), func(reported int) {
-			if f.result.counts(f.clock.now) {
-				f.result.ProbeNs += float64(f.scenario.ProbeCost)
+// probe occupies a slot of the instance for ProbeCost and records the load that
+// it reports.
+func (sim *simulation) probe(h *host, target probe.Target) {
+	n := sim.instanceIndex(h, target.Member.Instance().ID())
+	u := sim.upstreams[n]
+	sentAt := sim.clock.now
+	sim.clock.after(sim.delay(h, n), func() {
+		u.serve(float64(sim.scenario.ProbeCost)*u.rate(), func(reported int) {
+			if sim.result.isMeasured(sim.clock.now) {
+				sim.result.ProbeNs += float64(sim.scenario.ProbeCost)
 			}
-			f.clock.after(f.delay(h, n), func() {
-				target.Reservation.Settle(time.Duration(f.clock.now - sentAt))
-				target.Member.Load().RecordProbe(reported, 0, epoch+f.clock.now)
+			sim.clock.after(sim.delay(h, n), func() {
+				target.Reservation.Settle(time.Duration(sim.clock.now - sentAt))
+				target.Member.Load().RecordProbe(reported, 0, epoch+sim.clock.now)
 			})
 		})
 	})
--- a/bench/route/virtual/result.go
+++ b/bench/route/virtual/result.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-// drainTime is how long a run goes on after the last arrival.
-const drainTime = int64(10 * time.Second)
+// drainPeriod is how long a run continues after the last arrival.
+const drainPeriod = int64(10 * time.Second)
 
-// Result is what came of a run.
+// Result holds the outcome counts and latencies of a run. They exclude requests
+// that arrive during the warm-up; Sent and QueueNs include them.
 type Result struct {
 	scenario Scenario
-	latency  []float64 // nanoseconds, of good answers
+	latency  []float64 // nanoseconds, of successful responses
 	sorted   bool
-	runs     int // merged, 0 for one
-	Failed   int // answered with an error, or lost with a host
-	Shed     int // refused by an entry host before it was sent
-	Late     int // answered after the deadline
+	runs     int // number of merged runs, 0 for a single one
+	Failed   int // error responses, time-outs and requests on a crashed host
+	Shed     int // rejected by an entry host before dispatch
+	Late     int // responses after the deadline
 	InTime   int
 	Offered  int
-	ProbeNs  float64         // slot time that probes took
-	Sent     []map[int64]int // by instance: requests sent in each 10 ms
-	QueueNs  float64         // nanoseconds, sum over all requests
+	ProbeNs  float64         // slot time spent on probes
+	Sent     []map[int64]int // by instance: requests dispatched in each sentWindow
+	QueueNs  float64         // time in the entry hosts' queues, sum over all requests
 }
 
 func newResult(s Scenario) *Result {
 	return &Result{scenario: s, Sent: make([]map[int64]int, s.Instances)}
 }
 
-func (r *Result) counts(arrivedAt int64) bool { return arrivedAt >= int64(r.scenario.Warmup) }
+// isMeasured reports whether an arrival is after the warm-up.
+func (r *Result) isMeasured(arrivedAt int64) bool { return arrivedAt >= int64(r.scenario.Warmup) }
 
-// answer records a request's end.
-func (r *Result) answer(arrivedAt, now int64, failed bool) {
-	if !r.counts(arrivedAt) {
+// recordResponse records the end of a request.
+func (r *Result) recordResponse(arrivedAt, now int64, failed bool) {
+	if !r.isMeasured(arrivedAt) {
 		return
 	}
 	r.Offered++
@@ -50,24 +52,25 @@
 	r.InTime++
 }
 
-func (r *Result) shed(arrivedAt int64) {
-	if r.counts(arrivedAt) {
+func (r *Result) recordShed(arrivedAt int64) {
+	if r.isMeasured(arrivedAt) {
 		r.Offered++
 		r.Shed++
 	}
 }
 
-// window is the width of the counts of sent requests.
-const window = int64(10 * time.Millisecond)
+// sentWindow is the bucket width of the counts of dispatched requests.
+const sentWindow = int64(10 * time.Millisecond)
 
-func (r *Result) sent(instance int, now int64) {
+func (r *Result) recordSent(instance int, now int64) {
 	if r.Sent[instance] == nil {
 		r.Sent[instance] = map[int64]int{}
 	}
-	r.Sent[instance][now/window]++
+	r.Sent[instance][now/sentWindow]++
 }
 
-// Quantile returns a quantile of the latency of good answers in milliseconds.
+// Quantile returns a quantile of the latency of successful responses in
+// milliseconds, NaN if there are none.
 func (r *Result) Quantile(q float64) float64 {
 	if len(r.latency) == 0 {
 		return math.NaN()
@@ -80,42 +83,44 @@
 	return r.latency[max(at, 0)] / float64(time.Millisecond)
 }
 
-// Goodput returns answers in time a second over the instances' capacity.
+// Goodput returns the rate of responses within the deadline as a share of the
+// instances' capacity.
 func (r *Result) Goodput() float64 {
 	s := r.scenario
 	capacity := float64(s.Instances*s.Slots) / float64(s.Mean) * float64(s.Duration-s.Warmup) * float64(max(r.runs, 1))
 	return float64(r.InTime) / capacity
 }
 
-// DetectionMs returns how long after a fault it takes until the instance gets half
-// of the requests that it got before or fewer, and no more than that again for
-// a second: the end of the first such window, in milliseconds.
+// DetectionMs returns the time in milliseconds from a fault until the request rate
+// of the instance has dropped to half of its previous rate or less and stays
+// there for the rest of the second after the fault. The time is that of the end
+// of the first such window.
 func (r *Result) DetectionMs(target int, at time.Duration) float64 {
-	first := int64(at) / window
+	first := int64(at) / sentWindow
 	before := 0
-	for w := first - noticeWindows; w < first; w++ {
+	for w := first - detectionWindows; w < first; w++ {
 		before += r.Sent[target][w]
 	}
-	usual := float64(before) / noticeWindows
-	noticed := first
-	for w := first; w < first+noticeWindows; w++ {
-		if float64(r.Sent[target][w]) > usual/2 {
-			noticed = w + 1
+	baseline := float64(before) / detectionWindows
+	detected := first
+	for w := first; w < first+detectionWindows; w++ {
+		if float64(r.Sent[target][w]) > baseline/2 {
+			detected = w + 1
 		}
 	}
-	return float64((noticed+1-first)*window) / float64(time.Millisecond)
+	return float64((detected+1-first)*sentWindow) / float64(time.Millisecond)
 }
 
-// noticeWindows is how many windows around a fault are looked at.
-const noticeWindows = 100
+// detectionWindows is the number of windows compared before and after a fault.
+const detectionWindows = 100
 
-// ProbeShare returns the share of the instances' slot time that probes took.
+// ProbeShare returns the share of the instances' slot time spent on probes.
 func (r *Result) ProbeShare() float64 {
 	s := r.scenario
 	return r.ProbeNs / (float64(s.Instances*s.Slots) * float64(s.Duration-s.Warmup) * float64(max(r.runs, 1)))
 }
 
-// Merge adds another run's requests.
+// Merge adds the requests of another run of the same scenario.
 func (r *Result) Merge(other *Result) {
 	r.latency = append(r.latency, other.latency...)
 	r.sorted = false
--- a/bench/route/virtual/run.go
+++ b/bench/route/virtual/run.go
@@ -15,110 +15,113 @@
 )
 
 const (
-	service        = "catalogue"
-	answerLifetime = int64(5 * time.Second)
-	connectFailure = int64(time.Millisecond) // until a caller knows that a host is gone
-	hostRate       = 1000.0                  // requests a second
-	announceDelay  = int64(time.Second)      // until every host knows that an instance drains
-	lossTimeout    = int64(time.Second)      // until a host gives up on a request without a deadline
-	coldTime       = int64(2 * time.Second)  // until a cold instance is warm
-	noZone         = -1
-	epoch          = int64(1_700_000_000_000_000_000)
+	service            = "catalogue"
+	addressTTL         = int64(5 * time.Second)
+	connectFailureTime = int64(time.Millisecond) // until a connection attempt to an unreachable host fails
+	hostRate           = 1000.0                  // requests per second
+	announceDelay      = int64(time.Second)      // until every host has an announced change
+	defaultTimeout     = int64(time.Second)      // of a request without a deadline
+	coldPeriod         = int64(2 * time.Second)  // until a restarted instance is warm
+	noPartition        = -1
+	epoch              = int64(1_700_000_000_000_000_000)
 )
 
 // host is an entry host with the real router.
 type host struct {
 	name    string
 	zone    int
-	lost    bool
+	crashed bool
 	views   *route.Views
 	router  *route.Router
 	members []route.Member
 }
 
-// caller keeps an address answer for its lifetime.
+// caller caches an address response until it expires.
 type caller struct {
 	active    []*host
 	spares    []*host
-	freshTill int64
+	expiresAt int64
 }
 
-type fleet struct {
-	scenario  Scenario
-	clock     *clock
-	random    *rand.Rand
-	upstreams []*upstream
-	hosts     []*host
-	reports   []*wire.HostReport
-	callers   []*caller
-	terms     *contract.Contract
-	result    *Result
-	cut       int // zone that is cut off, or noZone
+// simulation is the state of one run.
+type simulation struct {
+	scenario        Scenario
+	clock           *clock
+	random          *rand.Rand
+	upstreams       []*upstream
+	hosts           []*host
+	reports         []*wire.HostReport
+	callers         []*caller
+	contract        *contract.Contract
+	result          *Result
+	partitionedZone int // zone without a connection to the others, or noPartition
 }
 
-// Run runs the scenario with its policy.
+// Run simulates the scenario with its policy.
 func Run(s Scenario) *Result {
 	s = s.WithDefaults()
-	f := newFleet(s)
+	sim := newSimulation(s)
 	for _, one := range s.arrivals() {
-		f.clock.at(one.at, func() { f.arrive(one) })
+		sim.clock.at(one.at, func() { sim.arrive(one) })
 	}
 	for _, fault := range s.Faults {
-		f.clock.at(int64(fault.At), func() { f.apply(fault) })
+		sim.clock.at(int64(fault.At), func() { sim.apply(fault) })
 	}
-	f.startProbes()
-	f.clock.run(int64(s.Duration) + drainTime)
-	return f.result
+	sim.startProbes()
+	sim.clock.run(int64(s.Duration) + drainPeriod)
+	return sim.result
 }
 
-func newFleet(s Scenario) *fleet {
+func newSimulation(s Scenario) *simulation {
 	c := &clock{}
-	f := &fleet{
+	sim := &simulation{
 		scenario: s, clock: c, random: rand.New(rand.NewPCG(s.Seed, 2)), upstreams: s.upstreams(c),
-		terms: contract.New(), result: newResult(s), cut: noZone,
+		contract: contract.New(), result: newResult(s), partitionedZone: noPartition,
 	}
 	for n := range s.Hosts {
-		f.hosts = append(f.hosts, f.newHost(n))
+		sim.hosts = append(sim.hosts, sim.newHost(n))
 	}
 	for range s.Callers {
-		f.callers = append(f.callers, &caller{})
+		sim.callers = append(sim.callers, &caller{})
 	}
-	return f
+	return sim
 }
 
 func zoneName(n int) string { return "zone-" + strconv.Itoa(n) }
 
-func (f *fleet) newHost(n int) *host {
-	h := &host{name: fmt.Sprintf("entry-%d", n+1), zone: n % f.scenario.Zones, views: &route.Views{}}
-	for i, u := range f.upstreams {
+func (sim *simulation) newHost(n int) *host {
+	h := &host{name: fmt.Sprintf("entry-%d", n+1), zone: n % sim.scenario.Zones, views: &route.Views{}}
+	for i, u := range sim.upstreams {
 		id := instance.ID(fmt.Sprintf("%s-%d", service, i))
 		h.members = append(h.members, route.NewMember(
 			instance.New(id, service, "", instance.WithZone(zoneName(u.zone)), instance.WithSlots(u.slots)), &route.Load{}))
 	}
 	h.views.Store(map[string]*route.View{service: route.NewView(service, h.members)})
-	draws := rand.NewPCG(f.scenario.Seed, uint64(n)+5000)
+	draws := rand.NewPCG(sim.scenario.Seed, uint64(n)+5000)
 	options := append([]route.Option{
-		route.WithClock(func() int64 { return epoch + f.clock.now }),
+		route.WithClock(func() int64 { return epoch + sim.clock.now }),
 		route.WithRandom(draws.Uint64), route.WithoutTrace(),
-	}, f.scenario.Options...)
-	h.router = route.NewRouter(h.views, f.scenario.Policy(), options...)
-	f.reports = append(f.reports, &wire.HostReport{Name: h.name, Zone: zoneName(h.zone), Role: "entry", State: placement.StateReady})
+	}, sim.scenario.Options...)
+	h.router = route.NewRouter(h.views, sim.scenario.Policy(), options...)
+	sim.reports = append(sim.reports, &wire.HostReport{Name: h.name, Zone: zoneName(h.zone), Role: "entry", State: placement.StateReady})
 	return h
 }
 
-// hostOf returns the entry host that a caller uses: the addresses of its last
-// answer, asked for again when its lifetime has passed.
-func (f *fleet) hostOf(c *caller) *host {
-	if c.freshTill <= f.clock.now {
-		answer := f.answer()
-		c.active, c.spares = f.named(answer.Active()), f.named(answer.Spares())
-		c.freshTill = f.clock.now + answerLifetime
+// pickHost returns a random active entry host of a caller's address response,
+// which is renewed when its TTL has passed.
+func (sim *simulation) pickHost(c *caller) *host {
+	if c.expiresAt <= sim.clock.now {
+		selection := sim.selectHosts()
+		c.active, c.spares = sim.hostsByReport(selection.Active()), sim.hostsByReport(selection.Spares())
+		c.expiresAt = sim.clock.now + addressTTL
 	}
-	return c.active[f.random.IntN(len(c.active))]
+	return c.active[sim.random.IntN(len(c.active))]
 }
 
-// avoid leaves out a host that a caller could not reach, and returns the next.
-func (f *fleet) avoid(c *caller, h *host) *host {
+// excludeHost removes an unreachable host from a caller's address response and
+// returns another one, nil if none is left. Spares replace active hosts only when
+// all of those have failed.
+func (sim *simulation) excludeHost(c *caller, h *host) *host {
 	c.active = slices.DeleteFunc(c.active, func(one *host) bool { return one == h })
 	if len(c.active) == 0 && len(c.spares) > 0 {
 		c.active, c.spares = c.spares[:1], c.spares[1:]
@@ -126,26 +129,26 @@
 	if len(c.active) == 0 {
 		return nil
 	}
-	return c.active[f.random.IntN(len(c.active))]
+	return c.active[sim.random.IntN(len(c.active))]
 }
 
-// answer is what callers are told. A scenario with Active above 1 stands for a
-// rate that one host does not carry.
-func (f *fleet) answer() placement.Selection {
-	plan := placement.Plan{Spread: f.scenario.Spread, HostRate: hostRate, Rate: hostRate * float64(f.scenario.Active)}
-	return placement.Choose(f.reports, service, "", plan)
+// selectHosts returns the placement of the service for an address response. The
+// rate is such that the placement needs Active hosts.
+func (sim *simulation) selectHosts() placement.Selection {
+	plan := placement.Plan{Spread: sim.scenario.Spread, HostRate: hostRate, Rate: hostRate * float64(sim.scenario.Active)}
+	return placement.Choose(sim.reports, service, "", plan)
 }
 
-func (f *fleet) named(reports []*wire.HostReport) []*host {
+func (sim *simulation) hostsByReport(reports []*wire.HostReport) []*host {
 	var all []*host
 	for _, report := range reports {
-		all = append(all, f.host(report.GetName()))
+		all = append(all, sim.hostByName(report.GetName()))
 	}
 	return all
 }
 
-func (f *fleet) host(name string) *host {
-	for _, h := range f.hosts {
+func (sim *simulation) hostByName(name string) *host {
+	for _, h := range sim.hosts {
 		if h.name == name {
 			return h
 		}
@@ -153,44 +156,46 @@
 	return nil
 }
 
-func (f *fleet) arrive(a arrival) {
-	f.enter(a, f.hostOf(f.callers[a.caller]))
+func (sim *simulation) arrive(a arrival) {
+	sim.admit(a, sim.pickHost(sim.callers[a.caller]))
 }
 
-// enter hands a request to an entry host, or to the next one of the caller's
-// answer if that one is lost.
-func (f *fleet) enter(a arrival, h *host) {
+// admit sends a request to an entry host, or to another one of the caller's
+// address response if that host is unreachable.
+func (sim *simulation) admit(a arrival, h *host) {
 	if h == nil {
-		f.result.answer(a.at, f.clock.now, true)
+		sim.result.recordResponse(a.at, sim.clock.now, true)
 		return
 	}
-	if h.lost || !f.reaches(a.caller%f.scenario.Zones, h.zone) {
-		f.clock.after(connectFailure, func() { f.enter(a, f.avoid(f.callers[a.caller], h)) })
+	if h.crashed || !sim.reachable(a.caller%sim.scenario.Zones, h.zone) {
+		sim.clock.after(connectFailureTime, func() { sim.admit(a, sim.excludeHost(sim.callers[a.caller], h)) })
 		return
 	}
-	q := route.NewQuery(service, f.terms, strconv.Itoa(a.caller), zoneName(h.zone))
-	if f.scenario.Deadline > 0 {
-		q = q.WithDeadline(time.Unix(0, epoch+f.clock.now+int64(f.scenario.Deadline)))
+	q := route.NewQuery(service, sim.contract, strconv.Itoa(a.caller), zoneName(h.zone))
+	if sim.scenario.Deadline > 0 {
+		q = q.WithDeadline(time.Unix(0, epoch+sim.clock.now+int64(sim.scenario.Deadline)))
 	}
-	ticket, _, err := h.router.Offer(q, func(t *route.Ticket, err error) { f.granted(h, a, t, err) })
+	ticket, _, err := h.router.Offer(q, func(t *route.Ticket, err error) { sim.dispatch(h, a, t, err) })
 	if err != nil || ticket != nil {
-		f.granted(h, a, ticket, err)
+		sim.dispatch(h, a, ticket, err)
 	}
 }
 
-func (f *fleet) granted(h *host, a arrival, t *route.Ticket, err error) {
+// dispatch sends a request to its instance, or records it as shed if the router
+// rejected it.
+func (sim *simulation) dispatch(h *host, a arrival, t *route.Ticket, err error) {
 	if err != nil {
-		f.result.shed(a.at)
+		sim.result.recordShed(a.at)
 		return
 	}
-	n := f.index(h, t.Instance().ID())
-	f.result.sent(n, f.clock.now)
-	f.result.QueueNs += float64(t.Waited())
-	sentAt := f.clock.now
-	f.clock.after(f.delay(h, n), func() { f.serve(h, n, a, t, sentAt) })
+	n := sim.instanceIndex(h, t.Instance().ID())
+	sim.result.recordSent(n, sim.clock.now)
+	sim.result.QueueNs += float64(t.Waited())
+	sentAt := sim.clock.now
+	sim.clock.after(sim.delay(h, n), func() { sim.serve(h, n, a, t, sentAt) })
 }
 
-func (f *fleet) index(h *host, id instance.ID) int {
+func (sim *simulation) instanceIndex(h *host, id instance.ID) int {
 	for n, m := range h.members {
 		if m.Instance().ID() == id {
 			return n
@@ -199,93 +204,96 @@
 	return -1
 }
 
-func (f *fleet) delay(h *host, n int) int64 {
-	if f.upstreams[n].zone == h.zone {
-		return int64(f.scenario.SameZone)
+func (sim *simulation) delay(h *host, n int) int64 {
+	if sim.upstreams[n].zone == h.zone {
+		return int64(sim.scenario.SameZone)
 	}
-	return int64(f.scenario.OtherZone)
+	return int64(sim.scenario.OtherZone)
 }
 
-// reaches reports whether anything passes between two zones.
-func (f *fleet) reaches(a, b int) bool {
-	return a == b || f.cut == noZone || a != f.cut && b != f.cut
+// reachable reports whether two zones are connected.
+func (sim *simulation) reachable(a, b int) bool {
+	return a == b || sim.partitionedZone == noPartition || a != sim.partitionedZone && b != sim.partitionedZone
 }
 
-// lose ends a request that got no answer.
-func (f *fleet) lose(a arrival, t *route.Ticket, sentAt int64) {
-	timeout := lossTimeout
-	if f.scenario.Deadline > 0 {
-		timeout = int64(f.scenario.Deadline)
+// timeOut ends a request without a response when its deadline or the default
+// timeout has passed.
+func (sim *simulation) timeOut(a arrival, t *route.Ticket, sentAt int64) {
+	timeout := defaultTimeout
+	if sim.scenario.Deadline > 0 {
+		timeout = int64(sim.scenario.Deadline)
 	}
-	f.clock.after(timeout, func() {
-		f.result.answer(a.at, f.clock.now, true)
-		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: true, ConnectionLost: true})
+	sim.clock.after(timeout, func() {
+		sim.result.recordResponse(a.at, sim.clock.now, true)
+		t.Finish(route.Report{Latency: time.Duration(sim.clock.now - sentAt), Failed: true, ConnectionLost: true})
 	})
 }
 
-func (f *fleet) serve(h *host, n int, a arrival, t *route.Ticket, sentAt int64) {
-	u := f.upstreams[n]
-	if !f.reaches(h.zone, u.zone) {
-		f.lose(a, t, sentAt)
+func (sim *simulation) serve(h *host, n int, a arrival, t *route.Ticket, sentAt int64) {
+	u := sim.upstreams[n]
+	if !sim.reachable(h.zone, u.zone) {
+		sim.timeOut(a, t, sentAt)
 		return
 	}
 	if u.failFast {
-		f.back(h, n, a, t, sentAt, 0, true)
+		sim.respond(h, n, a, t, sentAt, 0, true)
 		return
 	}
-	u.serve(a.work, func(reported int) { f.back(h, n, a, t, sentAt, reported, false) })
+	u.serve(a.work, func(reported int) { sim.respond(h, n, a, t, sentAt, reported, false) })
 }
 
-// back carries an answer to the entry host.
-func (f *fleet) back(h *host, n int, a arrival, t *route.Ticket, sentAt int64, reported int, failed bool) {
-	f.clock.after(f.delay(h, n), func() {
-		if h.lost {
-			f.result.answer(a.at, f.clock.now, true)
+// respond delivers a response to the entry host. The request fails if that host
+// has crashed.
+func (sim *simulation) respond(h *host, n int, a arrival, t *route.Ticket, sentAt int64, reported int, failed bool) {
+	sim.clock.after(sim.delay(h, n), func() {
+		if h.crashed {
+			sim.result.recordResponse(a.at, sim.clock.now, true)
 			return
 		}
-		f.result.answer(a.at, f.clock.now, failed)
-		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: failed, ReportedLoad: reported, HasReportedLoad: true})
+		sim.result.recordResponse(a.at, sim.clock.now, failed)
+		t.Finish(route.Report{Latency: time.Duration(sim.clock.now - sentAt), Failed: failed, ReportedLoad: reported, HasReportedLoad: true})
 	})
 }
 
-func (f *fleet) apply(fault Fault) {
+func (sim *simulation) apply(fault Fault) {
 	switch fault.Kind {
 	case Slow:
-		u := f.upstreams[fault.Target]
-		u.change(func() { u.slowdown = fault.Factor })
+		u := sim.upstreams[fault.Target]
+		u.updateSpeed(func() { u.slowdown = fault.Factor })
 	case FailFast:
-		f.upstreams[fault.Target].failFast = true
+		sim.upstreams[fault.Target].failFast = true
 	case MisreportLoad:
-		f.upstreams[fault.Target].lies, f.upstreams[fault.Target].lie = true, int(fault.Factor)
+		sim.upstreams[fault.Target].misreports, sim.upstreams[fault.Target].misreportedLoad = true, int(fault.Factor)
 	case Drain:
-		f.clock.after(announceDelay, func() { f.announceDraining(fault.Target) })
+		sim.clock.after(announceDelay, func() { sim.announceDraining(fault.Target) })
 	case CrashHost:
-		f.loseHost(fault.Target)
+		sim.crashHost(fault.Target)
 	case ColdStart:
-		f.coldStart(fault.Target, fault.Factor)
+		sim.coldStart(fault.Target, fault.Factor)
 	case PartitionZone:
-		f.cut = fault.Target
+		sim.partitionedZone = fault.Target
 	}
 }
 
-func (f *fleet) announceDraining(n int) {
-	f.announce(n, false, instance.WithDraining(true))
+func (sim *simulation) announceDraining(n int) {
+	sim.announce(n, false, instance.WithDraining(true))
 }
 
-// coldStart restarts an instance that is slow until it is warm.
-func (f *fleet) coldStart(n int, factor float64) {
-	u := f.upstreams[n]
-	u.change(func() { u.slowdown = factor })
-	f.announce(n, true, instance.WithCold(true))
-	f.clock.after(coldTime, func() {
-		u.change(func() { u.slowdown = 1 })
-		f.announce(n, false)
+// coldStart restarts an instance that is slower by a factor during coldPeriod.
+func (sim *simulation) coldStart(n int, factor float64) {
+	u := sim.upstreams[n]
+	u.updateSpeed(func() { u.slowdown = factor })
+	sim.announce(n, true, instance.WithCold(true))
+	sim.clock.after(coldPeriod, func() {
+		u.updateSpeed(func() { u.slowdown = 1 })
+		sim.announce(n, false)
 	})
 }
 
-// announce tells every host of a change of an instance.
-func (f *fleet) announce(n int, restarted bool, opts ...instance.Option) {
-	for _, h := range f.hosts {
+// announce applies a change of an instance on every host. A restart discards the
+// tracked load.
+func (sim *simulation) announce(n int, restarted bool, opts ...instance.Option) {
+	for _, h := range sim.hosts {
 		old := h.members[n]
 		load := old.Load()
 		if restarted {
@@ -298,13 +306,14 @@
 	}
 }
 
-// loseHost kills the n-th host of the service's placement.
-func (f *fleet) loseHost(n int) {
-	chosen := f.answer().Hosts()
+// crashHost crashes the n-th host of the service's placement, which leaves the
+// placement after announceDelay.
+func (sim *simulation) crashHost(n int) {
+	chosen := sim.selectHosts().Hosts()
 	name := chosen[n%len(chosen)].GetName()
-	f.host(name).lost = true
-	f.clock.after(announceDelay, func() {
-		for _, report := range f.reports {
+	sim.hostByName(name).crashed = true
+	sim.clock.after(announceDelay, func() {
+		for _, report := range sim.reports {
 			if report.GetName() == name {
 				report.State = "silent"
 			}
--- a/bench/route/virtual/run_test.go
+++ b/bench/route/virtual/run_test.go
@@ -18,8 +18,9 @@
 	must.Eq(t, one.Offered, two.Offered)
 }
 
-// TestEveryRequestEndsOnce compares what was offered with the central queue's
-// count of the same arrivals.
+// TestEveryRequestEndsOnce guards against requests that a fault drops from the
+// counts or counts twice: the outcomes add up to the offered requests, which are
+// as many as the central queue counts for the same arrivals.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	for _, kind := range []virtual.FaultKind{virtual.Slow, virtual.FailFast, virtual.Drain, virtual.MisreportLoad, virtual.CrashHost, virtual.ColdStart, virtual.PartitionZone} {
 		s := virtual.Scenario{
@@ -32,17 +33,17 @@
 	}
 }
 
-// TestNoWorkForADrainingInstance holds from the time at which every entry host
-// has heard of it.
+// TestNoWorkForADrainingInstance checks that no request is dispatched to an
+// instance once every entry host has received its drain announcement.
 func TestNoWorkForADrainingInstance(t *testing.T) {
-	const target, heard = 2, 3 * time.Second // it drains at 2 s and is heard of 1 s later
+	const target, announced = 2, 3 * time.Second // drains at 2 s, announced everywhere 1 s later
 	r := virtual.Run(virtual.Scenario{
 		Load: 0.9, Active: 3, Duration: 5 * time.Second, Policy: adaptive,
 		Faults: []virtual.Fault{{At: 2 * time.Second, Kind: virtual.Drain, Target: target}},
 	})
 	before, after := 0, 0
 	for at, n := range r.Sent[target] {
-		if at < int64(heard/(10*time.Millisecond)) {
+		if at < int64(announced/(10*time.Millisecond)) {
 			before += n
 		} else {
 			after += n
@@ -52,7 +53,7 @@
 	must.Eq(t, 0, after)
 }
 
-func TestProbesKeepToTheBudgetInARun(t *testing.T) {
+func TestProbesRespectTheBudgetInARun(t *testing.T) {
 	s := virtual.Scenario{Load: 0.05, Instances: 6, Duration: 61 * time.Second, Policy: route.NewLeastLoaded, ProbeBudget: 0.01}
 	r := virtual.Run(s)
 	must.Positive(t, r.ProbeShare())
--- a/bench/route/virtual/upstream.go
+++ b/bench/route/virtual/upstream.go
@@ -1,39 +1,39 @@
 package virtual
 
-// job is work in one slot of an instance.
+// job is a request in a slot or in the queue of an instance.
 type job struct {
-	left    float64 // nanoseconds at speed 1
-	since   int64   // when left was last brought up to date
-	version int
-	done    func(reported int)
+	remaining float64 // nanoseconds at speed 1
+	updatedAt int64   // when remaining was last updated
+	version   int
+	done      func(reported int)
 }
 
-// upstream is an instance: slots, a queue, and a speed that shifts.
+// upstream is a simulated instance with slots, a FIFO queue and a varying speed.
 type upstream struct {
-	clock    *clock
-	zone     int
-	slots    int
-	speed    float64
-	slowdown float64
-	failFast bool
-	lie      int // reported whatever the load is, if lies
-	lies     bool
-	running  []*job
-	queue    []*job
-	busy     float64 // nanoseconds of slots used by probes
+	clock           *clock
+	zone            int
+	slots           int
+	speed           float64
+	slowdown        float64
+	failFast        bool
+	misreportedLoad int // reported in place of the actual load, if misreports is set
+	misreports      bool
+	running         []*job
+	queue           []*job
+	busy            float64 // slot time used by probes, in nanoseconds
 }
 
 func (s Scenario) upstreams(c *clock) []*upstream {
 	all := make([]*upstream, s.Instances)
 	for n := range all {
 		u := &upstream{clock: c, zone: n % s.Zones, slots: s.Slots, slowdown: 1}
-		draws := s.speedsOf(n)
+		draws := s.speedSource(n)
 		u.speed = draws.draw()
 		first := draws.phase(s.SpeedPeriod)
 		all[n] = u
 		var redraw func()
 		redraw = func() {
-			u.change(func() { u.speed = draws.draw() })
+			u.updateSpeed(func() { u.speed = draws.draw() })
 			c.after(int64(s.SpeedPeriod), redraw)
 		}
 		c.at(first, redraw)
@@ -41,11 +41,11 @@
 	return all
 }
 
-// change applies a change of speed to the work in hand.
-func (u *upstream) change(apply func()) {
+// updateSpeed changes the speed and reschedules the end of the running jobs.
+func (u *upstream) updateSpeed(apply func()) {
 	for _, j := range u.running {
-		j.left -= float64(u.clock.now-j.since) * u.rate()
-		j.since = u.clock.now
+		j.remaining -= float64(u.clock.now-j.updatedAt) * u.rate()
+		j.updatedAt = u.clock.now
 	}
 	apply()
 	for _, j := range u.running {
@@ -55,19 +55,21 @@
 
 func (u *upstream) rate() float64 { return u.speed / u.slowdown }
 
+// schedule schedules the end of a job at the current speed, and invalidates the
+// end that was scheduled before.
 func (u *upstream) schedule(j *job) {
 	j.version++
 	version := j.version
-	u.clock.after(int64(max(j.left, 0)/u.rate())+1, func() {
+	u.clock.after(int64(max(j.remaining, 0)/u.rate())+1, func() {
 		if j.version == version {
 			u.finish(j)
 		}
 	})
 }
 
-// serve runs work in a slot, or queues it.
+// serve starts work in a free slot, or queues it.
 func (u *upstream) serve(work float64, done func(reported int)) {
-	j := &job{left: work, done: done}
+	j := &job{remaining: work, done: done}
 	if len(u.running) < u.slots {
 		u.start(j)
 		return
@@ -76,7 +78,7 @@
 }
 
 func (u *upstream) start(j *job) {
-	j.since = u.clock.now
+	j.updatedAt = u.clock.now
 	u.running = append(u.running, j)
 	u.schedule(j)
 }
@@ -97,10 +99,10 @@
 	j.done(u.load())
 }
 
-// load is what the instance reports.
+// load returns the load that the instance reports.
 func (u *upstream) load() int {
-	if u.lies {
-		return u.lie
+	if u.misreports {
+		return u.misreportedLoad
 	}
 	return len(u.running) + len(u.queue)
 }
--- a/bench/slope/slope.go
+++ b/bench/slope/slope.go
@@ -1,5 +1,5 @@
-// Package slope fits a straight line through measured points and gives the
-// error of its slope, so that a cost can be worked out at a size that was not
+// Package slope fits a line through measured points by least squares and returns
+// the standard error of its slope, to extrapolate a cost to a size that was not
 // measured.
 //
 // Usage:
@@ -15,10 +15,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fewest is how many points a fit with an error needs.
-const fewest = 3
+// minPoints is the number of points that a fit with a standard error needs.
+const minPoints = 3
 
-// Point is one measurement.
+// Point is one measurement: a size and its cost.
 type Point struct {
 	X float64
 	Y float64
@@ -29,13 +29,13 @@
 	Intercept  float64
 	Slope      float64
 	SlopeError float64 // standard error of the slope
-	R2         float64 // share of the variance that the line explains
+	R2         float64 // coefficient of determination
 }
 
-// Fit returns the least squares line through three points or more.
+// Fit returns the least-squares line through at least three points.
 func Fit(points []Point) (Line, error) {
-	if len(points) < fewest {
-		return Line{}, errors.Errorf("a fit needs %d points, there are %d", fewest, len(points))
+	if len(points) < minPoints {
+		return Line{}, errors.Errorf("fit needs at least %d points, got %d", minPoints, len(points))
 	}
 	xs, ys := make([]float64, len(points)), make([]float64, len(points))
 	for n, p := range points {
@@ -58,5 +58,5 @@
 	return math.Sqrt(residual / float64(len(xs)-2) / spread)
 }
 
-// At returns the line's value.
+// At returns the value of the line at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
--- a/bench/slope/slope_test.go
+++ b/bench/slope/slope_test.go
@@ -15,7 +15,7 @@
 	must.InDelta(t, 0, line.SlopeError, 1e-9)
 }
 
-func TestFitTellsItsError(t *testing.T) {
+func TestFitReturnsTheErrorOfTheSlope(t *testing.T) {
 	line, err := slope.Fit([]slope.Point{{X: 0, Y: 0}, {X: 1, Y: 1}, {X: 2, Y: 0}, {X: 3, Y: 1}})
 	must.NoError(t, err)
 	must.InDelta(t, 0.2, line.Slope, 1e-9)
