--- a/bench/call.go
+++ b/bench/call.go
@@ -21,26 +21,26 @@
 
 // Size and bounds of the generated trials.
 const (
-	callTrials          = 640
-	callTrialsAtOnce    = 64
-	callSteps           = 40
-	callSeed            = 20261204
-	callCasesBound      = 10_000
-	callDeadline        = 200 * time.Millisecond
-	callSettle          = 800 * time.Millisecond
-	poisonHosts         = 29
-	poisonInstances     = 10
-	poisonResends       = 100
-	poisonLostBound     = 2
-	silentNoticeBoundMs = 2500 // 2 s without a sign of life, and the time to look
+	callTrials           = 640
+	callConcurrentTrials = 64
+	callSteps            = 40
+	callSeed             = 20261204
+	callCasesBound       = 10_000
+	callDeadline         = 200 * time.Millisecond
+	callSettle           = 800 * time.Millisecond
+	poisonHosts          = 29
+	poisonInstances      = 10
+	poisonResends        = 100
+	poisonLostBound      = 2
+	silentNoticeBoundMs  = 2500 // 2 s without a sign of life, and the time to look
 )
 
 // measureTrials runs generated sequences of requests and faults.
 func measureTrials(emit func(figure.Figure)) error {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	total := call.Verdict{Outcomes: map[string]int{}}
-	atOnce := make(chan struct{}, callTrialsAtOnce)
+	total := call.Result{Outcomes: map[string]int{}}
+	atOnce := make(chan struct{}, callConcurrentTrials)
 	for n := range callTrials {
 		atOnce <- struct{}{}
 		group.Go(func() {
@@ -53,7 +53,7 @@
 		})
 	}
 	group.Wait()
-	for _, line := range total.Detail {
+	for _, line := range total.Violations {
 		fmt.Fprintln(os.Stderr, "call: "+line)
 	}
 	note := fmt.Sprintf("%d requests, told %v", total.Sent, total.Outcomes)
@@ -65,13 +65,13 @@
 }
 
 func script(random *rand.Rand) []call.Step {
-	kinds := []call.StepKind{call.Send, call.Send, call.Send, call.Send, call.Break, call.Lose, call.Pause, call.Crash}
+	kinds := []call.StepKind{call.Send, call.Send, call.Send, call.Send, call.SetFault, call.SetLoss, call.Pause, call.Crash}
 	steps := make([]call.Step, callSteps)
 	for n := range steps {
 		steps[n] = call.Step{
 			Kind: kinds[random.IntN(len(kinds))], Host: random.IntN(call.Hosts), Target: random.IntN(call.Instances),
-			Key: random.IntN(4), Body: random.IntN(8) / 7, Fault: call.Fault(random.IntN(int(call.Gone) + 1)),
-			Loss: call.Loss(random.IntN(int(call.LoseAnswers) + 1)),
+			Key: random.IntN(4), Body: random.IntN(8) / 7, Fault: call.Fault(random.IntN(int(call.Down) + 1)),
+			Loss: call.Loss(random.IntN(int(call.DropResponses) + 1)),
 		}
 	}
 	return steps
@@ -82,8 +82,8 @@
 	if err != nil {
 		return err
 	}
-	note := fmt.Sprintf("resent %d times over %d hosts; %d of %d innocent requests had no answer", poisonResends, poisonHosts, result.Innocent, result.Others)
-	emit(figure.AtMost("call", "poisonInstancesLost", float64(result.Lost), "instances", poisonLostBound).With(note))
+	note := fmt.Sprintf("resent %d times over %d hosts; %d of %d innocent requests had no answer", poisonResends, poisonHosts, result.HealthyFailed, result.HealthySent)
+	emit(figure.AtMost("call", "poisonInstancesLost", float64(result.InstancesLost), "instances", poisonLostBound).With(note))
 	return nil
 }
 
--- a/bench/call/claims.go
+++ b/bench/call/claims.go
@@ -9,7 +9,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-var errLost = errors.New("no control host answers")
+var errUnreachable = errors.New("no control host answers")
 
 // group is the control hosts' state machine without the hosts.
 type group struct {
@@ -30,13 +30,13 @@
 
 // Losses of calls.
 const (
-	LoseNothing Loss = iota
-	LoseCalls        // they do not arrive
-	LoseAnswers      // they are applied, and the answer is lost
+	NoLoss        Loss = iota
+	DropRequests       // they do not arrive
+	DropResponses      // they are applied, and the answer is lost
 )
 
-// claims is one entry host's way to the group. It ends when the host crashes.
-type claims struct {
+// claimsClient is one entry host's way to the group. It ends when the host crashes.
+type claimsClient struct {
 	group *group
 
 	mu      sync.Mutex
@@ -44,46 +44,46 @@
 	crashed bool
 }
 
-func (c *claims) set(loss Loss) {
+func (c *claimsClient) setLoss(loss Loss) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loss = loss
 }
 
-func (c *claims) crash() {
+func (c *claimsClient) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crashed = true
 }
 
-func (c *claims) call(ctx context.Context, cmd *wire.Command) (*wire.Result, error) {
+func (c *claimsClient) call(ctx context.Context, cmd *wire.Command) (*wire.Result, error) {
 	c.mu.Lock()
 	loss, crashed := c.loss, c.crashed
 	c.mu.Unlock()
-	if crashed || loss == LoseCalls || ctx.Err() != nil {
-		return nil, errLost
+	if crashed || loss == DropRequests || ctx.Err() != nil {
+		return nil, errUnreachable
 	}
 	result := c.group.apply(cmd)
-	if loss == LoseAnswers {
-		return nil, errLost
+	if loss == DropResponses {
+		return nil, errUnreachable
 	}
 	return result, nil
 }
 
 // Claim claims a key.
-func (c *claims) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+func (c *claimsClient) Claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	result, err := c.call(ctx, &wire.Command{Body: &wire.Command_Claim{Claim: req}})
 	return result.GetClaim(), err
 }
 
 // Complete stores an answer.
-func (c *claims) Complete(ctx context.Context, req *wire.CompleteRequest) (*wire.CompleteResponse, error) {
+func (c *claimsClient) Complete(ctx context.Context, req *wire.CompleteRequest) (*wire.CompleteResponse, error) {
 	result, err := c.call(ctx, &wire.Command{Body: &wire.Command_Complete{Complete: req}})
 	return result.GetComplete(), err
 }
 
 // Release gives a claim up.
-func (c *claims) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
+func (c *claimsClient) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	result, err := c.call(ctx, &wire.Command{Body: &wire.Command_Release{Release: req}})
 	return result.GetRelease(), err
 }
--- a/bench/call/instance.go
+++ b/bench/call/instance.go
@@ -13,20 +13,20 @@
 
 // Faults of an instance.
 const (
-	Well      Fault = iota
-	DieBefore       // closes the link before it runs the request
-	DieAfter        // runs it and closes the link
-	Slow            // runs it after the deadline
-	Shed            // refuses before it starts
-	Cut             // answers half
-	Perish          // runs it and is lost with all its links
-	Gone            // does not accept
+	Healthy     Fault = iota
+	CloseBefore       // closes the link before it runs the request
+	CloseAfter        // runs it and closes the link
+	Slow              // runs it after the deadline
+	Shed              // refuses before it starts
+	Truncate          // answers half
+	CrashAfter        // runs it and is lost with all its links
+	Down              // does not accept
 
 )
 
 // instance counts executions.
 type instance struct {
-	slow time.Duration
+	slowDelay time.Duration
 
 	mu       sync.Mutex
 	fault    Fault
@@ -36,29 +36,29 @@
 }
 
 func newInstance(slow time.Duration) *instance {
-	return &instance{slow: slow, byKey: map[string]int{}, byID: map[string]int{}}
+	return &instance{slowDelay: slow, byKey: map[string]int{}, byID: map[string]int{}}
 }
 
-func (i *instance) set(fault Fault) {
+func (i *instance) setFault(fault Fault) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.fault = fault
 }
 
-func (i *instance) current() Fault {
+func (i *instance) currentFault() Fault {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.fault
 }
 
-func (i *instance) perish() {
+func (i *instance) crash() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.fault = Gone
+	i.fault = Down
 	i.listener.kill()
 }
 
-func (i *instance) accept(l *listener) {
+func (i *instance) setListener(l *listener) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.listener = l
@@ -71,7 +71,7 @@
 	i.byID[id]++
 }
 
-func (i *instance) runs(key, id string) (ofKey, ofID int) {
+func (i *instance) executions(key, id string) (ofKey, ofID int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.byKey[key], i.byID[id]
@@ -80,8 +80,8 @@
 // ServeHTTP runs a request, or fails as it was told.
 func (i *instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
-	fault := i.current()
-	if err != nil || fault == DieBefore || fault == Gone {
+	fault := i.currentFault()
+	if err != nil || fault == CloseBefore || fault == Down {
 		panic(http.ErrAbortHandler)
 	}
 	if fault == Shed {
@@ -90,26 +90,26 @@
 		return
 	}
 	if fault == Slow {
-		time.Sleep(i.slow)
+		time.Sleep(i.slowDelay)
 	}
 	i.count(r.Header.Get(keyHeader), r.Header.Get(idHeader))
-	if fault == Perish {
-		i.perish()
+	if fault == CrashAfter {
+		i.crash()
 	}
-	if fault == DieAfter || fault == Perish {
+	if fault == CloseAfter || fault == CrashAfter {
 		panic(http.ErrAbortHandler)
 	}
-	answer := answerTo(r.URL.Path, r.Header.Get(keyHeader), r.Header.Get(idHeader), string(data))
+	answer := expectedBody(r.URL.Path, r.Header.Get(keyHeader), r.Header.Get(idHeader), string(data))
 	w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
-	if fault == Cut {
+	if fault == Truncate {
 		answer = answer[:len(answer)/2]
 	}
 	_, _ = io.WriteString(w, answer)
 }
 
-// answerTo is the one right answer to a request. That of a request with a key
+// expectedBody is the one right answer to a request. That of a request with a key
 // is the same for each resend.
-func answerTo(path, key, id, body string) string {
+func expectedBody(path, key, id, body string) string {
 	if key != "" {
 		id = "any"
 	}
--- a/bench/call/poison.go
+++ b/bench/call/poison.go
@@ -16,19 +16,19 @@
 
 const poisonBody = "poison"
 
-// fragile is an instance that one body kills for good.
-type fragile struct {
+// fragileInstance is an instance that one body kills for good.
+type fragileInstance struct {
 	mu       sync.Mutex
 	listener *listener
-	lost     bool
+	crashed  bool
 }
 
 // ServeHTTP answers, or dies with all its links.
-func (f *fragile) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fragileInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err == nil && string(data) == poisonBody {
 		f.mu.Lock()
-		f.lost = true
+		f.crashed = true
 		f.mu.Unlock()
 		f.listener.kill()
 		panic(http.ErrAbortHandler)
@@ -38,9 +38,9 @@
 
 // PoisonResult is what resending a poison request cost.
 type PoisonResult struct {
-	Lost     int // instances
-	Innocent int // requests of others that had no answer, of Others
-	Others   int
+	InstancesLost int // instances
+	HealthyFailed int // requests of others that had no answer, of Others
+	HealthySent   int
 }
 
 // Poison sends a request that kills each instance that runs it through entry
@@ -49,9 +49,9 @@
 	t := &Trial{times: Times{Deadline: time.Second}, net: newNetwork(), group: newGroup(), instanceCount: instances}
 	t.transport = &http.Transport{DialContext: t.dial}
 	t.client = &http.Client{Transport: t.transport}
-	var all []*fragile
+	var all []*fragileInstance
 	for n := range instances {
-		f := &fragile{listener: t.net.listen(fmt.Sprintf("i%d:1", n))}
+		f := &fragileInstance{listener: t.net.listen(fmt.Sprintf("i%d:1", n))}
 		all = append(all, f)
 		go func() { _ = (&http.Server{Handler: f, ReadHeaderTimeout: time.Minute}).Serve(f.listener) }()
 	}
@@ -66,7 +66,7 @@
 		}))
 	}
 	for n := range hosts {
-		t.hosts = append(t.hosts, t.start(n, books[n]))
+		t.hosts = append(t.hosts, t.startHost(n, books[n]))
 	}
 	defer t.close()
 	var result PoisonResult
@@ -78,15 +78,15 @@
 		if err != nil {
 			return result, err
 		}
-		result.Others++
+		result.HealthySent++
 		if status != http.StatusOK {
-			result.Innocent++
+			result.HealthyFailed++
 		}
 	}
 	for _, f := range all {
 		f.mu.Lock()
-		if f.lost {
-			result.Lost++
+		if f.crashed {
+			result.InstancesLost++
 		}
 		f.mu.Unlock()
 	}
--- a/bench/call/silent.go
+++ b/bench/call/silent.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// deafen makes a socket drop whatever arrives, unacknowledged, as a middlebox
+// dropIncoming makes a socket drop whatever arrives, unacknowledged, as a middlebox
 // does that has lost track of a connection.
-func deafen(conn *net.TCPConn) error {
+func dropIncoming(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return errors.Wrap(err, "reach the socket")
@@ -49,7 +49,7 @@
 		}
 		_, err = http.ReadRequest(bufio.NewReader(conn))
 		if err == nil {
-			err = deafen(conn.(*net.TCPConn))
+			err = dropIncoming(conn.(*net.TCPConn))
 		}
 		silent <- err
 	}()
@@ -57,7 +57,7 @@
 	go pool.Run(ctx)
 	var body io.Reader = http.NoBody
 	if uploading {
-		body = &endless{}
+		body = &endlessBody{}
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://instance/", body)
 	if err != nil {
@@ -79,11 +79,11 @@
 	return time.Since(started), nil
 }
 
-// endless is a slow body without an end.
-type endless struct{}
+// endlessBody is a slow body without an end.
+type endlessBody struct{}
 
 // Read waits a moment and gives some bytes.
-func (*endless) Read(p []byte) (int, error) {
+func (*endlessBody) Read(p []byte) (int, error) {
 	time.Sleep(10 * time.Millisecond)
 	return min(len(p), 1000), nil
 }
--- a/bench/call/trial.go
+++ b/bench/call/trial.go
@@ -57,8 +57,8 @@
 // Kinds of steps.
 const (
 	Send StepKind = iota
-	Break
-	Lose
+	SetFault
+	SetLoss
 	Crash
 	Pause
 )
@@ -74,24 +74,24 @@
 	Loss   Loss
 }
 
-// Verdict counts what a trial showed.
-type Verdict struct {
+// Result counts what a trial showed.
+type Result struct {
 	Sent          int
 	ExecutedTwice int
 	NotRunButRan  int
 	WrongAnswers  int
 	Outcomes      map[string]int
-	Detail        []string
+	Violations    []string
 }
 
-// sent is one request with what its caller was told.
-type sent struct {
-	step    Step
-	id      string
-	outcome string
-	status  int
-	body    string
-	whole   bool
+// record is one request with what its caller was told.
+type record struct {
+	step     Step
+	id       string
+	outcome  string
+	status   int
+	body     string
+	complete bool
 }
 
 // Trial is one set of hosts and instances.
@@ -105,15 +105,15 @@
 	client        *http.Client
 	transport     *http.Transport
 
-	mu       sync.Mutex
-	requests []*sent
-	work     sync.WaitGroup
+	mu      sync.Mutex
+	records []*record
+	pending sync.WaitGroup
 }
 
 type host struct {
 	listener *listener
 	server   *http.Server
-	claims   *claims
+	claims   *claimsClient
 	pool     *upstream.Pool
 	settler  *control.Settler
 }
@@ -126,10 +126,10 @@
 	for n := range Instances {
 		i := newInstance(2 * times.Deadline)
 		t.instances = append(t.instances, i)
-		t.open(n)
+		t.serveInstance(n)
 	}
 	for n := range Hosts {
-		t.hosts = append(t.hosts, t.start(n, poison.NewTracker()))
+		t.hosts = append(t.hosts, t.startHost(n, poison.NewTracker()))
 	}
 	return t
 }
@@ -138,14 +138,14 @@
 	return t.net.dial(ctx, address)
 }
 
-func (t *Trial) open(n int) {
+func (t *Trial) serveInstance(n int) {
 	i := t.instances[n]
 	l := t.net.listen(fmt.Sprintf("i%d:1", n))
-	i.accept(l)
+	i.setListener(l)
 	go func() { _ = (&http.Server{Handler: i, ReadHeaderTimeout: time.Minute}).Serve(l) }()
 }
 
-func (t *Trial) start(n int, suspects *poison.Tracker) *host {
+func (t *Trial) startHost(n int, suspects *poison.Tracker) *host {
 	views := &route.Views{}
 	var members []route.Member
 	for k := range t.instanceCount {
@@ -160,7 +160,7 @@
 		panic("call: the rules of a trial are wrong: " + err.Error())
 	}
 	table.Confirm(1, time.Now())
-	h := &host{claims: &claims{group: t.group}, pool: upstream.NewPool(upstream.WithDial(t.net.dial)), listener: t.net.listen(fmt.Sprintf("e%d:1", n))}
+	h := &host{claims: &claimsClient{group: t.group}, pool: upstream.NewPool(upstream.WithDial(t.net.dial)), listener: t.net.listen(fmt.Sprintf("e%d:1", n))}
 	h.settler = control.NewSettler(h.claims)
 	h.server = &http.Server{ReadHeaderTimeout: time.Minute, Handler: caller.New(caller.Config{
 		Host: fmt.Sprint("entry-", n), Table: table, Router: route.NewRouter(views, route.NewLeastLoaded()), Pool: h.pool,
@@ -170,71 +170,71 @@
 	return h
 }
 
-// crash ends a host without a word, and starts another in its place.
-func (t *Trial) crash(n int) {
+// crashHost ends a host without a word, and starts another in its place.
+func (t *Trial) crashHost(n int) {
 	h := t.hosts[n]
-	h.claims.crash()
+	h.claims.disconnect()
 	h.listener.kill()
 	_ = h.server.Close()
 	h.pool.Close()
-	t.hosts[n] = t.start(n, poison.NewTracker())
+	t.hosts[n] = t.startHost(n, poison.NewTracker())
 }
 
 // Run runs a script and returns what it showed.
-func (t *Trial) Run(script []Step) Verdict {
+func (t *Trial) Run(script []Step) Result {
 	for _, step := range script {
-		t.step(step)
+		t.runStep(step)
 	}
-	t.heal()
-	t.work.Wait()
+	t.clearFaults()
+	t.pending.Wait()
 	time.Sleep(t.times.Settle)
-	verdict := t.judge()
+	verdict := t.check()
 	t.close()
 	return verdict
 }
 
-func (t *Trial) step(step Step) {
+func (t *Trial) runStep(step Step) {
 	switch step.Kind {
 	case Send:
 		t.send(step)
-	case Break:
-		t.breakInstance(step)
-	case Lose:
-		t.hosts[step.Host].claims.set(step.Loss)
+	case SetFault:
+		t.setFault(step)
+	case SetLoss:
+		t.hosts[step.Host].claims.setLoss(step.Loss)
 	case Crash:
-		t.crash(step.Host)
+		t.crashHost(step.Host)
 	case Pause:
 		time.Sleep(t.times.Deadline / 4)
 	}
 }
 
-func (t *Trial) breakInstance(step Step) {
+func (t *Trial) setFault(step Step) {
 	i := t.instances[step.Target]
-	was := i.current()
-	i.set(step.Fault)
+	was := i.currentFault()
+	i.setFault(step.Fault)
 	switch {
-	case step.Fault == Gone && was != Gone:
+	case step.Fault == Down && was != Down:
 		i.listener.kill()
-	case step.Fault != Gone && was == Gone:
-		t.open(step.Target)
+	case step.Fault != Down && was == Down:
+		t.serveInstance(step.Target)
 	}
 }
 
-func (t *Trial) heal() {
+func (t *Trial) clearFaults() {
 	for n := range t.instances {
-		t.breakInstance(Step{Target: n})
+		t.setFault(Step{Target: n})
 	}
 	for _, h := range t.hosts {
-		h.claims.set(LoseNothing)
+		h.claims.setLoss(NoLoss)
 	}
 }
 
 func (t *Trial) send(step Step) {
 	t.mu.Lock()
-	one := &sent{step: step, id: fmt.Sprint("r", len(t.requests))}
-	t.requests = append(t.requests, one)
+	one := &record{step: step, id: fmt.Sprint("r", len(t.records))}
+	t.records = append(t.records, one)
 	t.mu.Unlock()
-	t.work.Go(func() { t.exchange(one) })
+	t.pending.Go(func() { t.exchange(one) })
 }
 
 func pathOf(step Step) string {
@@ -251,7 +251,7 @@
 	return fmt.Sprint("k", step.Key)
 }
 
-func (t *Trial) exchange(one *sent) {
+func (t *Trial) exchange(one *record) {
 	step := one.step
 	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://e%d:1%s", step.Host, pathOf(step)), strings.NewReader(fmt.Sprint("b", step.Body)))
 	if err != nil {
@@ -270,33 +270,33 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
-	one.outcome, one.status, one.body, one.whole = response.Header.Get(outcome.Header), response.StatusCode, string(data), err == nil
+	one.outcome, one.status, one.body, one.complete = response.Header.Get(outcome.Header), response.StatusCode, string(data), err == nil
 }
 
-func (t *Trial) judge() Verdict {
-	v := Verdict{Sent: len(t.requests), Outcomes: map[string]int{}}
+func (t *Trial) check() Result {
+	v := Result{Sent: len(t.records), Outcomes: map[string]int{}}
 	ran := map[string]int{}
-	for _, one := range t.requests {
+	for _, one := range t.records {
 		ofKey, ofID := 0, 0
 		for _, i := range t.instances {
-			key, id := i.runs(keyOf(one.step), one.id)
+			key, id := i.executions(keyOf(one.step), one.id)
 			ofKey, ofID = ofKey+key, ofID+id
 		}
 		if one.step.Key > 0 {
 			ran[keyOf(one.step)] = ofKey
 		}
-		v.judge(one, ofID)
+		v.check(one, ofID)
 	}
 	for key, times := range ran {
 		if times > 1 {
 			v.ExecutedTwice++
-			v.Detail = append(v.Detail, fmt.Sprint(key, " ran ", times, " times"))
+			v.Violations = append(v.Violations, fmt.Sprint(key, " ran ", times, " times"))
 		}
 	}
 	return v
 }
 
-func (v *Verdict) judge(one *sent, ran int) {
+func (v *Result) check(one *record, ran int) {
 	told := one.outcome
 	if told == "" {
 		told = "none"
@@ -305,10 +305,10 @@
 	switch {
 	case told == string(outcome.NotRun) && ran > 0:
 		v.NotRunButRan++
-		v.Detail = append(v.Detail, one.id+" was told not-run and ran")
-	case told == string(outcome.Answer) && one.whole && one.body != answerTo(pathOf(one.step), keyOf(one.step), one.id, fmt.Sprint("b", one.step.Body)):
+		v.Violations = append(v.Violations, one.id+" was told not-run and ran")
+	case told == string(outcome.Answer) && one.complete && one.body != expectedBody(pathOf(one.step), keyOf(one.step), one.id, fmt.Sprint("b", one.step.Body)):
 		v.WrongAnswers++
-		v.Detail = append(v.Detail, fmt.Sprintf("%s got %d %q", one.id, one.status, one.body))
+		v.Violations = append(v.Violations, fmt.Sprintf("%s got %d %q", one.id, one.status, one.body))
 	}
 }
 
@@ -325,12 +325,12 @@
 }
 
 // Add adds what another trial showed.
-func (v *Verdict) Add(other Verdict) {
+func (v *Result) Add(other Result) {
 	v.Sent += other.Sent
 	v.ExecutedTwice += other.ExecutedTwice
 	v.NotRunButRan += other.NotRunButRan
 	v.WrongAnswers += other.WrongAnswers
-	v.Detail = append(v.Detail, other.Detail...)
+	v.Violations = append(v.Violations, other.Violations...)
 	for told, n := range other.Outcomes {
 		v.Outcomes[told] += n
 	}
--- a/bench/call/trial_test.go
+++ b/bench/call/trial_test.go
@@ -15,13 +15,13 @@
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m)) }
 
 func steps() *rapid.Generator[[]call.Step] {
-	kinds := []call.StepKind{call.Send, call.Send, call.Send, call.Send, call.Break, call.Lose, call.Pause, call.Crash}
+	kinds := []call.StepKind{call.Send, call.Send, call.Send, call.Send, call.SetFault, call.SetLoss, call.Pause, call.Crash}
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) call.Step {
 		return call.Step{
 			Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Host: rapid.IntRange(0, call.Hosts-1).Draw(t, "host"),
 			Target: rapid.IntRange(0, call.Instances-1).Draw(t, "target"), Key: rapid.IntRange(0, 3).Draw(t, "key"),
-			Body: rapid.IntRange(0, 1).Draw(t, "body"), Fault: call.Fault(rapid.IntRange(0, int(call.Gone)).Draw(t, "fault")),
-			Loss: call.Loss(rapid.IntRange(0, int(call.LoseAnswers)).Draw(t, "loss")),
+			Body: rapid.IntRange(0, 1).Draw(t, "body"), Fault: call.Fault(rapid.IntRange(0, int(call.Down)).Draw(t, "fault")),
+			Loss: call.Loss(rapid.IntRange(0, int(call.DropResponses)).Draw(t, "loss")),
 		}
 	}), 1, 40)
 }
@@ -31,14 +31,14 @@
 func TestWhatCallersAreToldIsTrue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := steps().Draw(rt, "script")
-		var verdict call.Verdict
+		var verdict call.Result
 		synctest.Test(t, func(*testing.T) {
 			trial := call.NewTrial(call.Times{Deadline: 2 * time.Second, Settle: 15 * time.Minute})
 			verdict = trial.Run(script)
 			time.Sleep(time.Hour)
 		})
-		if len(verdict.Detail) > 0 {
-			rt.Fatalf("%v", verdict.Detail)
+		if len(verdict.Violations) > 0 {
+			rt.Fatalf("%v", verdict.Violations)
 		}
 	})
 }
@@ -48,7 +48,7 @@
 		trial := call.NewTrial(call.Times{Deadline: 2 * time.Second, Settle: time.Minute})
 		verdict := trial.Run([]call.Step{{Key: 1}, {Kind: call.Pause}, {Key: 1, Host: 1}, {Kind: call.Pause}, {Key: 1, Body: 1}, {Key: 2}, {}})
 		must.Eq(t, 5, verdict.Sent)
-		must.SliceEmpty(t, verdict.Detail)
+		must.SliceEmpty(t, verdict.Violations)
 		must.Eq(t, 4, verdict.Outcomes["answer"])
 		must.Eq(t, 1, verdict.Outcomes["not-run"])
 		time.Sleep(time.Hour)
--- a/bench/callload.go
+++ b/bench/callload.go
@@ -50,7 +50,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: rateCallers}}
 }
 
-func (l *loader) one() error {
+func (l *loader) send() error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+l.address+l.path, bytes.NewReader([]byte(l.body)))
 	if err != nil {
 		return errors.Wrap(err, "make request")
@@ -84,7 +84,7 @@
 			var err error
 			for time.Now().Before(until) && err == nil {
 				started := time.Now()
-				err = l.one()
+				err = l.send()
 				_ = own.RecordValue(time.Since(started).Microseconds())
 				time.Sleep(l.pause)
 			}
--- a/bench/callstop.go
+++ b/bench/callstop.go
@@ -33,7 +33,7 @@
 // Size of the stops that are measured.
 const (
 	stopHosts       = 6
-	stopAtOnce      = 2
+	concurrentStops = 2
 	uploadBytes     = 200 << 20
 	uploadParts     = 100
 	uploadPause     = 80 * time.Millisecond
@@ -41,11 +41,11 @@
 	stopRate        = 200
 	stopLoad        = 45 * time.Second
 	stopTail        = time.Second
-	submitTries     = 50
+	submitAttempts  = 50
 	submitPause     = 200 * time.Millisecond
 	announceTime    = 2 * time.Second
-	smallInstances  = 4
-	programsOfBench = "entry control standin"
+	lookupInstances = 4
+	programs        = "entry control standin"
 )
 
 // measureStops stops hosts while an upload and a load are under way.
@@ -58,7 +58,7 @@
 	if _, _, err := c.StartInstance("photos-1", "photos", "a", "--work", "1ms"); err != nil {
 		return err
 	}
-	for n := range smallInstances {
+	for n := range lookupInstances {
 		if _, _, err := c.StartInstance(fmt.Sprint("lookup-", n), "lookup", "a", "--work", "2ms"); err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 		return rollErr
 	}
 	cut := summary.Sent - summary.Outcomes["answer"]
-	note := fmt.Sprintf("one 200 MB upload stopped halfway, %d requests during a restart of %d hosts, %d at a time: %v", summary.Sent, stopHosts, stopAtOnce, summary.Outcomes)
+	note := fmt.Sprintf("one 200 MB upload stopped halfway, %d requests during a restart of %d hosts, %d at a time: %v", summary.Sent, stopHosts, concurrentStops, summary.Outcomes)
 	if uploadErr != nil {
 		cut++
 		note += "; upload: " + uploadErr.Error()
@@ -94,7 +94,7 @@
 		return nil, nil, errors.Wrap(err, "make folder")
 	}
 	remove := func() { _ = os.RemoveAll(dir) }
-	for _, program := range bytes.Fields([]byte(programsOfBench)) {
+	for _, program := range bytes.Fields([]byte(programs)) {
 		target := filepath.Join(dir, "snipebeam-"+string(program))
 		if out, err := exec.Command("go", "build", "-o", target, "./"+string(program)).CombinedOutput(); err != nil {
 			remove()
@@ -133,7 +133,7 @@
 func submitRules(c *cluster.Cluster) error {
 	req := &wire.SubmitRequest{SubmissionId: "bench", Text: callRules, Author: "bench", Reason: "measure"}
 	var last error
-	for n := range submitTries {
+	for n := range submitAttempts {
 		address := c.Controls[n%len(c.Controls)].Peers
 		response, err := wire.NewRulesProtobufClient("http://"+address, http.DefaultClient).Submit(context.Background(), req)
 		if err == nil && response.GetAccepted() {
@@ -147,36 +147,36 @@
 
 // slowUpload gives a body in parts, and stops a host halfway.
 type slowUpload struct {
-	left   int
-	digest *xxhash.Digest
-	half   func()
-	part   []byte
+	remaining int
+	digest    *xxhash.Digest
+	atHalf    func()
+	part      []byte
 }
 
 // Read gives the next part after a pause.
 func (u *slowUpload) Read(p []byte) (int, error) {
-	if u.left == 0 {
+	if u.remaining == 0 {
 		return 0, io.EOF
 	}
 	const partBytes = uploadBytes / uploadParts
-	if u.left%partBytes == 0 {
+	if u.remaining%partBytes == 0 {
 		time.Sleep(uploadPause)
 	}
-	if u.left == uploadBytes/2 {
-		u.half()
+	if u.remaining == uploadBytes/2 {
+		u.atHalf()
 	}
-	n := min(len(p), u.left, (u.left-1)%partBytes+1)
+	n := min(len(p), u.remaining, (u.remaining-1)%partBytes+1)
 	for k := range n {
-		p[k] = byte(u.left + k)
+		p[k] = byte(u.remaining + k)
 	}
-	u.left -= n
+	u.remaining -= n
 	_, _ = u.digest.Write(p[:n])
 	return n, nil
 }
 
 func uploadThroughStop(c *cluster.Cluster) error {
 	entry := c.Entries[0]
-	upload := &slowUpload{left: uploadBytes, digest: xxhash.New(), half: func() { _ = entry.Signal(syscall.SIGTERM) }}
+	upload := &slowUpload{remaining: uploadBytes, digest: xxhash.New(), atHalf: func() { _ = entry.Signal(syscall.SIGTERM) }}
 	req, err := http.NewRequest(http.MethodPost, "http://"+entry.Callers+"/photos/1", upload)
 	if err != nil {
 		return errors.Wrap(err, "make request")
@@ -208,9 +208,9 @@
 
 // rollingRestart restarts every host gracefully, a few at a time.
 func rollingRestart(c *cluster.Cluster) error {
-	for from := 0; from < len(c.Entries); from += stopAtOnce {
-		failed := make(chan error, stopAtOnce)
-		for _, entry := range c.Entries[from : from+stopAtOnce] {
+	for from := 0; from < len(c.Entries); from += concurrentStops {
+		failed := make(chan error, concurrentStops)
+		for _, entry := range c.Entries[from : from+concurrentStops] {
 			go func() {
 				err := entry.Terminate(stopLimit)
 				if err == nil {
@@ -219,7 +219,7 @@
 				failed <- err
 			}()
 		}
-		for range stopAtOnce {
+		for range concurrentStops {
 			if err := <-failed; err != nil {
 				return err
 			}
--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -170,7 +170,7 @@
 	}}}
 }
 
-func claimed(n int) *state.Machine {
+func claimedMachine(n int) *state.Machine {
 	m := state.New()
 	for i := range n {
 		m.Apply(claimCommand(i))
@@ -179,7 +179,7 @@
 }
 
 func claimBytes(n int) (float64, error) {
-	return heapGrowth(func() any { return claimed(n) }), nil
+	return heapGrowth(func() any { return claimedMachine(n) }), nil
 }
 
 func claimNs(n int) (float64, error) {
--- a/bench/capacitymembership.go
+++ b/bench/capacitymembership.go
@@ -18,8 +18,8 @@
 // meshCost is what membership costs one host. Its bytes a second are measured
 // in the control area, since they settle slowly.
 type meshCost struct {
-	core float64 // nanoseconds of processor time a second
-	heap float64 // bytes of state
+	cpuNs     float64 // nanoseconds of processor time a second
+	heapBytes float64 // bytes of state
 }
 
 // measureMesh returns what a host spends in a group of a size. The processor
@@ -36,7 +36,7 @@
 	g.Run(meshSpan)
 	spent := time.Since(start)
 	perSecond := float64(hosts) * meshSpan.Seconds()
-	return meshCost{core: float64(spent.Nanoseconds()) / perSecond, heap: heap / float64(hosts)}
+	return meshCost{cpuNs: float64(spent.Nanoseconds()) / perSecond, heapBytes: heap / float64(hosts)}
 }
 
 // measureMembershipSlopes prints how the cost of one host grows with instances.
@@ -44,8 +44,8 @@
 	var core, heap []slope.Point
 	for _, instances := range []int{60, 500, 2000, 3900} {
 		cost := measureMesh(meshHosts, instances)
-		core = append(core, slope.Point{X: float64(instances), Y: cost.core})
-		heap = append(heap, slope.Point{X: float64(instances), Y: cost.heap})
+		core = append(core, slope.Point{X: float64(instances), Y: cost.cpuNs})
+		heap = append(heap, slope.Point{X: float64(instances), Y: cost.heapBytes})
 	}
 	if err := emitSlope(emit, "membershipCoreNsPerSecondPerInstance", "ns/s", core); err != nil {
 		return err
--- a/bench/control.go
+++ b/bench/control.go
@@ -22,15 +22,15 @@
 
 // scheduleTally sums up what many schedules did and broke.
 type scheduleTally struct {
-	mu       sync.Mutex
-	runs     int
-	broken   map[schedule.Invariant]int
-	first    string
-	accepted int
-	claims   int
-	crashes  int
-	blanks   int
-	changes  int
+	mu                sync.Mutex
+	runs              int
+	violations        map[schedule.Invariant]int
+	firstViolation    string
+	accepted          int
+	claims            int
+	crashes           int
+	diskLosses        int
+	membershipChanges int
 }
 
 func (t *scheduleTally) add(seed uint64, r *schedule.Report) {
@@ -40,19 +40,19 @@
 	t.accepted += r.Accepted()
 	t.claims += r.Dispatched()
 	t.crashes += r.Crashes()
-	t.blanks += r.DiskLosses()
-	t.changes += r.MembershipChanges()
+	t.diskLosses += r.DiskLosses()
+	t.membershipChanges += r.MembershipChanges()
 	for _, v := range r.Violations() {
-		t.broken[v.Invariant()]++
-		if t.first == "" {
-			t.first = fmt.Sprintf("seed %d: %s", seed, v)
+		t.violations[v.Invariant()]++
+		if t.firstViolation == "" {
+			t.firstViolation = fmt.Sprintf("seed %d: %s", seed, v)
 		}
 	}
 }
 
-func (t *scheduleTally) all() int {
+func (t *scheduleTally) total() int {
 	n := 0
-	for _, count := range t.broken {
+	for _, count := range t.violations {
 		n += count
 	}
 	return n
@@ -60,9 +60,9 @@
 
 func (t *scheduleTally) note() string {
 	note := fmt.Sprintf("%d schedules of %d steps, 3 and 5 hosts: %d changes accepted, %d claims dispatched, %d crashes, %d disks lost, %d memberships committed",
-		t.runs, scheduleSteps, t.accepted, t.claims, t.crashes, t.blanks, t.changes)
-	if t.first != "" {
-		note += "; first violation: " + t.first
+		t.runs, scheduleSteps, t.accepted, t.claims, t.crashes, t.diskLosses, t.membershipChanges)
+	if t.firstViolation != "" {
+		note += "; first violation: " + t.firstViolation
 	}
 	return note
 }
@@ -70,7 +70,7 @@
 // measureSchedules runs generated schedules on disks that lose what was not
 // synced and counts the promises that were broken.
 func measureSchedules(emit func(figure.Figure)) error {
-	tally := &scheduleTally{broken: map[schedule.Invariant]int{}}
+	tally := &scheduleTally{violations: map[schedule.Invariant]int{}}
 	var next atomic.Uint64
 	var group sync.WaitGroup
 	for range min(scheduleWorkers, runtime.GOMAXPROCS(0)) {
@@ -82,12 +82,12 @@
 		})
 	}
 	group.Wait()
-	lost := tally.broken[schedule.NoLoss] + tally.broken[schedule.SameEntries]
-	doubled := tally.broken[schedule.OneHolder]
+	lost := tally.violations[schedule.NoLoss] + tally.violations[schedule.SameEntries]
+	doubled := tally.violations[schedule.OneHolder]
 	emit(figure.AtLeast("control", "schedules", float64(tally.runs), "schedules", scheduleCount).With(tally.note()))
 	emit(figure.AtMost("control", "lostAcceptedChanges", float64(lost), "changes", 0))
-	emit(figure.AtMost("control", "revertedVersions", float64(tally.broken[schedule.MonotonicReads]), "versions", 0))
+	emit(figure.AtMost("control", "revertedVersions", float64(tally.violations[schedule.MonotonicReads]), "versions", 0))
 	emit(figure.AtMost("control", "doubleClaims", float64(doubled), "claims", 0))
-	emit(figure.AtMost("control", "brokenPromises", float64(tally.all()), "violations", 0).With("all promises of the schedules, those above among them"))
+	emit(figure.AtMost("control", "brokenPromises", float64(tally.total()), "violations", 0).With("all promises of the schedules, those above among them"))
 	return nil
 }
--- a/bench/controlkill.go
+++ b/bench/controlkill.go
@@ -18,35 +18,35 @@
 
 // Bounds and size of the trials of a lost leader.
 const (
-	pauseBoundMs = 1000
-	killTrials   = 5
-	killClients  = 12
-	beforeKill   = 500 * time.Millisecond
-	afterKill    = 2 * time.Second
-	killCall     = 400 * time.Millisecond // a client's limit before it asks another host
+	pauseBoundMs     = 1000
+	killTrials       = 5
+	killClients      = 12
+	beforeKill       = 500 * time.Millisecond
+	afterKill        = 2 * time.Second
+	killClaimTimeout = 400 * time.Millisecond // a client's limit before it asks another host
 )
 
-// witness is a client that remembers what it was told.
-type witness struct {
-	mu      sync.Mutex
-	granted []*wire.ClaimRequest
-	answers []time.Time
+// claimRecorder is a client that remembers what it was told.
+type claimRecorder struct {
+	mu            sync.Mutex
+	granted       []*wire.ClaimRequest
+	responseTimes []time.Time
 }
 
-func (w *witness) add(req *wire.ClaimRequest) {
+func (w *claimRecorder) add(req *wire.ClaimRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.granted = append(w.granted, req)
-	w.answers = append(w.answers, time.Now())
+	w.responseTimes = append(w.responseTimes, time.Now())
 }
 
 // longestPause returns the longest time without an answer after a moment.
-func (w *witness) longestPause(after time.Time) time.Duration {
+func (w *claimRecorder) longestPause(after time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	slices.SortFunc(w.answers, time.Time.Compare)
+	slices.SortFunc(w.responseTimes, time.Time.Compare)
 	last, longest := after, time.Duration(0)
-	for _, at := range w.answers {
+	for _, at := range w.responseTimes {
 		if at.Before(after) {
 			continue
 		}
@@ -56,14 +56,14 @@
 	return longest
 }
 
-// claimOn claims new keys until told to stop; a request without an answer is
+// claimUntil claims new keys until told to stop; a request without an answer is
 // sent again to the next host with the same claim id, as entry hosts do.
-func (w *witness) claimOn(g *controlGroup, first int, stop *atomic.Bool) {
+func (w *claimRecorder) claimUntil(g *controlGroup, first int, stop *atomic.Bool) {
 	at := first
 	for !stop.Load() {
 		req := newClaim()
 		for !stop.Load() {
-			ctx, cancel := context.WithTimeout(context.Background(), killCall)
+			ctx, cancel := context.WithTimeout(context.Background(), killClaimTimeout)
 			response, err := g.claims(at%len(g.cluster.Controls)).Claim(ctx, req)
 			cancel()
 			if err == nil && response.GetState() == wire.ClaimState_CLAIM_GRANTED {
@@ -75,9 +75,9 @@
 	}
 }
 
-// loseLeader loads the group, ends its leader with a signal, and returns the
+// stopLeader loads the group, ends its leader with a signal, and returns the
 // longest pause of the answers.
-func loseLeader(g *controlGroup, w *witness, signal syscall.Signal) (time.Duration, error) {
+func stopLeader(g *controlGroup, w *claimRecorder, signal syscall.Signal) (time.Duration, error) {
 	leader, err := g.leader()
 	if err != nil {
 		return 0, err
@@ -85,7 +85,7 @@
 	var stop atomic.Bool
 	var group sync.WaitGroup
 	for n := range killClients {
-		group.Go(func() { w.claimOn(g, n, &stop) })
+		group.Go(func() { w.claimUntil(g, n, &stop) })
 	}
 	time.Sleep(beforeKill)
 	lost := time.Now()
@@ -112,19 +112,19 @@
 		return err
 	}
 	defer g.close()
-	w := &witness{}
+	w := &claimRecorder{}
 	var pauses []time.Duration
 	for n := range killTrials {
 		if err := submitNext(g, uint64(n)); err != nil {
 			return err
 		}
-		pause, err := loseLeader(g, w, syscall.SIGKILL)
+		pause, err := stopLeader(g, w, syscall.SIGKILL)
 		if err != nil {
 			return err
 		}
 		pauses = append(pauses, pause)
 	}
-	stopped, err := loseLeader(g, w, syscall.SIGTERM)
+	stopped, err := stopLeader(g, w, syscall.SIGTERM)
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	return errors.Wrap(err, "submit")
 }
 
-func emitLosses(emit func(figure.Figure), g *controlGroup, w *witness) error {
+func emitLosses(emit func(figure.Figure), g *controlGroup, w *claimRecorder) error {
 	lostClaims := 0
 	for _, req := range w.granted {
 		if err := claimOnce(g.claims(0), req); err != nil {
--- a/bench/controlrecover.go
+++ b/bench/controlrecover.go
@@ -113,10 +113,10 @@
 	if err := g.restart(n); err != nil {
 		return 0, err
 	}
-	return since(g, n, start)
+	return recoveryTime(g, n, start)
 }
 
-func since(g *controlGroup, n int, start time.Time) (time.Duration, error) {
+func recoveryTime(g *controlGroup, n int, start time.Time) (time.Duration, error) {
 	response, err := g.awaitCurrent(n)
 	took := time.Since(start)
 	if err == nil && response.GetVersion().GetNumber() != recoverChanges {
@@ -144,7 +144,7 @@
 			return 0, err
 		}
 	}
-	return since(g, 0, start)
+	return recoveryTime(g, 0, start)
 }
 
 // residentMB returns the memory of the largest control host.
--- a/bench/decision.go
+++ b/bench/decision.go
@@ -14,9 +14,9 @@
 func init() { register("see", measureDecisionLog) }
 
 const (
-	decisionLines = 200_000
-	decisionRate  = 20_000 // lines a second
-	usualCount    = 10     // candidates of a decision
+	decisionLines     = 200_000
+	decisionRate      = 20_000 // lines a second
+	typicalCandidates = 10     // candidates of a decision
 )
 
 func decisionOf(candidates int) *decision.Decision {
@@ -43,7 +43,7 @@
 	}()
 	prepared := make([]*decision.Decision, decisionLines)
 	for n := range prepared {
-		prepared[n] = decisionOf(usualCount)
+		prepared[n] = decisionOf(typicalCandidates)
 	}
 	var spent time.Duration
 	start := time.Now()
@@ -58,6 +58,6 @@
 	cancel()
 	<-done
 	emit(figure.Plain("see", "decisionLogNs", float64(spent.Nanoseconds())/decisionLines, "ns").With("a line, on the request's path"))
-	emit(figure.Plain("see", "decisionLinesDropped", float64(log.Dropped()), "lines").With(fmt.Sprintf("of %d at %d a second, %d candidates each", decisionLines, decisionRate, usualCount)))
+	emit(figure.Plain("see", "decisionLinesDropped", float64(log.Dropped()), "lines").With(fmt.Sprintf("of %d at %d a second, %d candidates each", decisionLines, decisionRate, typicalCandidates)))
 	return nil
 }
--- a/bench/distribution.go
+++ b/bench/distribution.go
@@ -14,19 +14,19 @@
 
 // Bounds of distribution and membership, from the users' targets.
 const (
-	inForceBoundMs   = 3000
-	drainSeenBoundMs = 2000
-	controlBytes     = 8192
-	controlCore      = 1.5
-	controlResident  = 256
+	inForceBoundMs          = 3000
+	drainSeenBoundMs        = 2000
+	controlBytesBound       = 8192
+	controlCoreBoundPercent = 1.5
+	controlResidentBoundMB  = 256
 )
 
 // Sizes of today.
 const (
-	entryHosts     = 29
-	controlHosts   = 3
-	todayInstances = 31
-	dayChanges     = 14_000 // changes of configuration a day
+	entryHosts       = 29
+	controlHosts     = 3
+	currentInstances = 31
+	dayChanges       = 14_000 // changes of configuration a day
 )
 
 const (
@@ -52,7 +52,7 @@
 	}
 	defer f.Close()
 	d := &distribution{fleet: f, emit: emit}
-	if err := f.Announce(todayInstances); err != nil {
+	if err := f.Announce(currentInstances); err != nil {
 		return err
 	}
 	time.Sleep(settleSpan)
@@ -67,21 +67,21 @@
 // usage reads what a host spends with today's instances while rules change as
 // often as in two years.
 func (d *distribution) usage() error {
-	r, err := d.spend(dayChanges, usageSpan)
+	r, err := d.measureUsage(dayChanges, usageSpan)
 	if err != nil {
 		return err
 	}
-	note := fmt.Sprintf("%d entry processes, %d instances, %d changes a day, announcements included; largest of the hosts", entryHosts, todayInstances, dayChanges)
-	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", r.BytesPerSecond, "bytes/s", controlBytes).With(note))
-	d.emit(figure.AtMost("control", "controlCorePercentPerHost", r.CorePercent, "%", controlCore).With(fmt.Sprintf("%s; the mean is %.2f", note, r.MeanCorePercent)))
-	d.emit(figure.AtMost("control", "controlResidentMB", r.ResidentMB, "MB", controlResident).With(note))
+	note := fmt.Sprintf("%d entry processes, %d instances, %d changes a day, announcements included; largest of the hosts", entryHosts, currentInstances, dayChanges)
+	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", r.BytesPerSecond, "bytes/s", controlBytesBound).With(note))
+	d.emit(figure.AtMost("control", "controlCorePercentPerHost", r.CorePercent, "%", controlCoreBoundPercent).With(fmt.Sprintf("%s; the mean is %.2f", note, r.MeanCorePercent)))
+	d.emit(figure.AtMost("control", "controlResidentMB", r.ResidentMB, "MB", controlResidentBoundMB).With(note))
 	d.emit(figure.Plain("control", "controlHostCorePercent", r.ControlCorePercent, "%").With("largest of the control processes"))
-	d.emit(figure.AtMost("control", "controlHostResidentMB", r.ControlResidentMB, "MB", controlResident).With("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlHostResidentMB", r.ControlResidentMB, "MB", controlResidentBoundMB).With("largest of the control processes"))
 	return nil
 }
 
-// spend submits at a rate for a time and returns what the hosts spent.
-func (d *distribution) spend(changesADay float64, span time.Duration) (fleet.Rate, error) {
+// measureUsage submits at a rate for a time and returns what the hosts spent.
+func (d *distribution) measureUsage(changesADay float64, span time.Duration) (fleet.Rate, error) {
 	before := d.fleet.Usage()
 	end := time.Now().Add(span)
 	for changesADay > 0 && time.Now().Before(end) {
--- a/bench/distributionslopes.go
+++ b/bench/distributionslopes.go
@@ -49,7 +49,7 @@
 func (d *distribution) costsByChanges() ([]cost, error) {
 	var costs []cost
 	for _, changes := range slopeChanges {
-		rate, err := d.spend(changes, slopeSpan)
+		rate, err := d.measureUsage(changes, slopeSpan)
 		if err != nil {
 			return nil, err
 		}
@@ -60,12 +60,12 @@
 
 func (d *distribution) costsByInstances() ([]cost, error) {
 	var costs []cost
-	for _, n := range append([]int{todayInstances}, slopeInstances...) {
+	for _, n := range append([]int{currentInstances}, slopeInstances...) {
 		if err := d.fleet.Announce(n); err != nil {
 			return nil, err
 		}
 		time.Sleep(settleSpan)
-		rate, err := d.spend(0, slopeSpan)
+		rate, err := d.measureUsage(0, slopeSpan)
 		if err != nil {
 			return nil, err
 		}
@@ -94,12 +94,12 @@
 		return cost{}, err
 	}
 	defer f.Close()
-	if err := f.Announce(todayInstances); err != nil {
+	if err := f.Announce(currentInstances); err != nil {
 		return cost{}, err
 	}
 	time.Sleep(settleSpan)
 	d := &distribution{fleet: f, emit: emit}
-	rate, err := d.spend(dayChanges, slopeSpan)
+	rate, err := d.measureUsage(dayChanges, slopeSpan)
 	return cost{size: float64(n), rate: rate}, err
 }
 
--- a/bench/route_deployment.go
+++ b/bench/route_deployment.go
@@ -13,19 +13,19 @@
 // deployment is one user's zones and services.
 type deployment struct {
 	name      string
-	same      time.Duration // one way between hosts of a zone
-	other     time.Duration // one way between zones
+	sameZone  time.Duration // one way between hosts of a zone
+	otherZone time.Duration // one way between zones
 	instances []int         // sizes of services
 	zoneCost  time.Duration // to another zone and back
 }
 
 var deployments = []deployment{
-	{name: "troisRivieres", same: 100 * time.Microsecond, other: 500 * time.Microsecond, instances: []int{10, 6}, zoneCost: 800 * time.Microsecond},
-	{name: "attica", same: 100 * time.Microsecond, other: 1500 * time.Microsecond, instances: []int{10, 6}, zoneCost: 2800 * time.Microsecond},
+	{name: "troisRivieres", sameZone: 100 * time.Microsecond, otherZone: 500 * time.Microsecond, instances: []int{10, 6}, zoneCost: 800 * time.Microsecond},
+	{name: "attica", sameZone: 100 * time.Microsecond, otherZone: 1500 * time.Microsecond, instances: []int{10, 6}, zoneCost: 2800 * time.Microsecond},
 }
 
 func (d deployment) scenario(instances int) virtual.Scenario {
-	return virtual.Scenario{Instances: instances, SameZone: d.same, OtherZone: d.other, Duration: routeDuration}
+	return virtual.Scenario{Instances: instances, SameZone: d.sameZone, OtherZone: d.otherZone, Duration: routeDuration}
 }
 
 func (d deployment) adaptive() route.Policy { return route.NewAdaptive(route.WithZoneCost(d.zoneCost)) }
--- a/bench/route_fault.go
+++ b/bench/route_fault.go
@@ -10,16 +10,16 @@
 
 // Sizes of the runs with faults.
 const (
-	faultAt       = 3 * time.Second
-	faultDuration = 10 * time.Second
-	faultSeeds    = 8
-	faultWarmup   = faultAt - 50*time.Millisecond // what is in flight at the fault counts
-	faultTarget   = 2
-	faultLoad     = 0.7
-	slowFactor    = 10
-	coldFactor    = 4
-	highLie       = 20
-	faultDeadline = 300 * time.Millisecond
+	faultAt        = 3 * time.Second
+	faultDuration  = 10 * time.Second
+	faultSeeds     = 8
+	faultWarmup    = faultAt - 50*time.Millisecond // what is in flight at the fault counts
+	faultTarget    = 2
+	faultLoad      = 0.7
+	slowFactor     = 10
+	coldFactor     = 4
+	highLoadFactor = 20
+	faultDeadline  = 300 * time.Millisecond
 )
 
 // faultCase is one fault at 70% load; figures count from the fault on.
@@ -34,7 +34,7 @@
 	{"draining", virtual.Fault{Kind: virtual.Drain}},
 	{"coldStart", virtual.Fault{Kind: virtual.ColdStart, Factor: coldFactor}},
 	{"lowLie", virtual.Fault{Kind: virtual.Lie}},
-	{"highLie", virtual.Fault{Kind: virtual.Lie, Factor: highLie}},
+	{"highLie", virtual.Fault{Kind: virtual.Lie, Factor: highLoadFactor}},
 	{"zoneCut", virtual.Fault{Kind: virtual.CutZone}},
 	{"hostLost", virtual.Fault{Kind: virtual.LoseHost}},
 }
--- a/bench/rules.go
+++ b/bench/rules.go
@@ -21,8 +21,8 @@
 	matchRounds     = 200_000
 	// changesPerDay and controlShare are the users' bounds on changes and on
 	// what control may cost a node.
-	changesPerDay = 14_000
-	controlShare  = 0.015
+	changesPerDay     = 14_000
+	controlShareBound = 0.015
 )
 
 func init() { register(rulesArea, measureRules) }
@@ -35,24 +35,24 @@
 		return errors.Wrap(err, "generated rules")
 	}
 	emit(figure.Plain(rulesArea, "fileBytes", float64(len(text)), "bytes"))
-	emit(figure.AtMost(rulesArea, "checkMs", milliseconds(each(parseRounds, func() { rule.Parse("rules", text) })), "ms", 1000))
-	emit(figure.Plain(rulesArea, "readWholeMs", milliseconds(each(parseRounds, func() { rule.Read("rules", text) })), "ms"))
+	emit(figure.AtMost(rulesArea, "checkMs", milliseconds(meanDuration(parseRounds, func() { rule.Parse("rules", text) })), "ms", 1000))
+	emit(figure.Plain(rulesArea, "readWholeMs", milliseconds(meanDuration(parseRounds, func() { rule.Read("rules", text) })), "ms"))
 	changed := strings.Replace(text, "deadline 310ms", "deadline 320ms", 1)
-	checkChange := each(parseRounds, func() { rule.ParseIncremental(set, "rules", changed) })
+	checkChange := meanDuration(parseRounds, func() { rule.ParseIncremental(set, "rules", changed) })
 	emit(figure.Plain(rulesArea, "checkChangeMs", milliseconds(checkChange), "ms"))
 	checkShare := checkChange.Seconds() * changesPerDay / (24 * time.Hour).Seconds()
-	emit(figure.AtMost(rulesArea, "checkChangesCoreShare", checkShare, "share of a core", controlShare))
-	readChange := each(parseRounds, func() { rule.ReadIncremental(set, "rules", changed) })
+	emit(figure.AtMost(rulesArea, "checkChangesCoreShare", checkShare, "share of a core", controlShareBound))
+	readChange := meanDuration(parseRounds, func() { rule.ReadIncremental(set, "rules", changed) })
 	emit(figure.Plain(rulesArea, "readChangeMs", milliseconds(readChange), "ms"))
 	share := readChange.Seconds() * changesPerDay / (24 * time.Hour).Seconds()
-	emit(figure.AtMost(rulesArea, "readChangesCoreShare", share, "share of a core", controlShare))
+	emit(figure.AtMost(rulesArea, "readChangesCoreShare", share, "share of a core", controlShareBound))
 	header := http.Header{"X-Channel": {"counter"}}
-	last := each(matchRounds, func() { set.Match("service-7", "GET", "/part-19/7", header) })
+	last := meanDuration(matchRounds, func() { set.Match("service-7", "GET", "/part-19/7", header) })
 	emit(figure.Plain(rulesArea, "matchLastOf20Ns", float64(last), "ns"))
 	return nil
 }
 
-func each(rounds int, do func()) time.Duration {
+func meanDuration(rounds int, do func()) time.Duration {
 	started := time.Now()
 	for range rounds {
 		do()
