--- a/bench/call.go
+++ b/bench/call.go
@@ -32,24 +32,25 @@
 	poisonInstances      = 10
 	poisonResends        = 100
 	poisonLostBound      = 2
-	silentNoticeBoundMs  = 2500 // 2 s without a sign of life, and the time to look
+	silentNoticeBoundMs  = 2500 // 2 s of silence, and the time until the next check
 )
 
-// measureTrials runs generated sequences of requests and faults.
+// measureTrials runs generated sequences of requests and faults, and counts the
+// requests that broke a guarantee to their callers.
 func measureTrials(emit func(figure.Figure)) error {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	total := call.Result{Outcomes: map[string]int{}}
-	atOnce := make(chan struct{}, callConcurrentTrials)
+	slots := make(chan struct{}, callConcurrentTrials)
 	for n := range callTrials {
-		atOnce <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-atOnce }()
+			defer func() { <-slots }()
 			trial := call.NewTrial(call.Times{Deadline: callDeadline, Settle: callSettle})
-			verdict := trial.Run(script(rand.New(rand.NewPCG(callSeed, uint64(n)))))
+			result := trial.Run(script(rand.New(rand.NewPCG(callSeed, uint64(n)))))
 			mu.Lock()
 			defer mu.Unlock()
-			total.Add(verdict)
+			total.Add(result)
 		})
 	}
 	group.Wait()
--- a/bench/call/claims.go
+++ b/bench/call/claims.go
@@ -9,9 +9,9 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-var errUnreachable = errors.New("no control host answers")
+var errUnreachable = errors.New("control group unreachable")
 
-// group is the control hosts' state machine without the hosts.
+// group is the state machine of the control hosts, without replication.
 type group struct {
 	mu      sync.Mutex
 	machine *state.Machine
@@ -25,17 +25,18 @@
 	return g.machine.Apply(cmd)
 }
 
-// Loss says what becomes of calls to the control hosts.
+// Loss is which messages of calls to the control group are lost.
 type Loss int
 
-// Losses of calls.
+// Losses.
 const (
 	NoLoss        Loss = iota
-	DropRequests       // they do not arrive
-	DropResponses      // they are applied, and the answer is lost
+	DropRequests       // calls are not applied
+	DropResponses      // calls are applied, but their responses are lost
 )
 
-// claimsClient is one entry host's way to the group. It ends when the host crashes.
+// claimsClient is the client of the group in one entry host. It fails all calls
+// once the host has crashed.
 type claimsClient struct {
 	group *group
 
@@ -76,13 +77,13 @@
 	return result.GetClaim(), err
 }
 
-// Complete stores an answer.
+// Complete stores the response to the request of a claim.
 func (c *claimsClient) Complete(ctx context.Context, req *wire.CompleteRequest) (*wire.CompleteResponse, error) {
 	result, err := c.call(ctx, &wire.Command{Body: &wire.Command_Complete{Complete: req}})
 	return result.GetComplete(), err
 }
 
-// Release gives a claim up.
+// Release releases a claim.
 func (c *claimsClient) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	result, err := c.call(ctx, &wire.Command{Body: &wire.Command_Release{Release: req}})
 	return result.GetRelease(), err
--- a/bench/call/instance.go
+++ b/bench/call/instance.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Fault is how an instance behaves.
+// Fault is how an instance handles requests.
 type Fault int
 
 // Faults of an instance.
 const (
 	Healthy     Fault = iota
-	CloseBefore       // closes the link before it runs the request
-	CloseAfter        // runs it and closes the link
-	Slow              // runs it after the deadline
-	Shed              // refuses before it starts
-	Truncate          // answers half
-	CrashAfter        // runs it and is lost with all its links
-	Down              // does not accept
+	CloseBefore       // closes the connection before it runs the request
+	CloseAfter        // runs the request and closes the connection
+	Slow              // runs the request after the deadline
+	Shed              // rejects the request before it runs it
+	Truncate          // runs the request and sends half of the response
+	CrashAfter        // runs the request, then closes all connections and goes down
+	Down              // accepts no connections
 
 )
 
-// instance counts executions.
+// instance is an upstream instance that counts executions.
 type instance struct {
 	slowDelay time.Duration
 
@@ -77,7 +77,7 @@
 	return i.byKey[key], i.byID[id]
 }
 
-// ServeHTTP runs a request, or fails as it was told.
+// ServeHTTP runs a request, or fails according to the current fault.
 func (i *instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	fault := i.currentFault()
@@ -99,15 +99,15 @@
 	if fault == CloseAfter || fault == CrashAfter {
 		panic(http.ErrAbortHandler)
 	}
-	answer := expectedBody(r.URL.Path, r.Header.Get(keyHeader), r.Header.Get(idHeader), string(data))
-	w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
+	response := expectedBody(r.URL.Path, r.Header.Get(keyHeader), r.Header.Get(idHeader), string(data))
+	w.Header().Set("Content-Length", fmt.Sprint(len(response)))
 	if fault == Truncate {
-		answer = answer[:len(answer)/2]
+		response = response[:len(response)/2]
 	}
-	_, _ = io.WriteString(w, answer)
+	_, _ = io.WriteString(w, response)
 }
 
-// expectedBody is the one right answer to a request. That of a request with a key
+// expectedBody returns the only correct response body to a request. With a key, it
 // is the same for each resend.
 func expectedBody(path, key, id, body string) string {
 	if key != "" {
--- a/bench/call/network.go
+++ b/bench/call/network.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// network connects servers and clients in memory.
+// network connects clients to listeners in memory.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// Addr returns a name that says nothing.
+// Addr returns a placeholder.
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{Name: "memory"} }
 
-// kill closes the listener and everything that it accepted.
+// kill closes the listener and all connections that it accepted.
 func (l *listener) kill() {
 	_ = l.Close()
 	l.mu.Lock()
@@ -70,10 +70,10 @@
 	if l == nil {
 		return nil, net.ErrClosed
 	}
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- theirs:
-		return ours, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
--- a/bench/call/poison.go
+++ b/bench/call/poison.go
@@ -16,14 +16,15 @@
 
 const poisonBody = "poison"
 
-// fragileInstance is an instance that one body kills for good.
+// fragileInstance is an instance that one request body crashes permanently.
 type fragileInstance struct {
 	mu       sync.Mutex
 	listener *listener
 	crashed  bool
 }
 
-// ServeHTTP answers, or dies with all its links.
+// ServeHTTP echoes the body, or closes the listener and all connections on the
+// poison body.
 func (f *fragileInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err == nil && string(data) == poisonBody {
@@ -36,15 +37,15 @@
 	_, _ = w.Write(data)
 }
 
-// PoisonResult is what resending a poison request cost.
+// PoisonResult is the effect of resending a poison request.
 type PoisonResult struct {
-	InstancesLost int // instances
-	HealthyFailed int // requests of others that had no answer, of Others
+	InstancesLost int // by the poison request
+	HealthyFailed int // healthy requests without status 200, of HealthySent
 	HealthySent   int
 }
 
-// Poison sends a request that kills each instance that runs it through entry
-// hosts in turn, with innocent requests beside it.
+// Poison resends a request that crashes each instance that runs it, each time
+// through the next entry host, and sends a healthy request after each.
 func Poison(hosts, instances, resends int) (PoisonResult, error) {
 	t := &Trial{times: Times{Deadline: time.Second}, net: newNetwork(), group: newGroup(), instanceCount: instances}
 	t.transport = &http.Transport{DialContext: t.dial}
@@ -55,18 +56,18 @@
 		all = append(all, f)
 		go func() { _ = (&http.Server{Handler: f, ReadHeaderTimeout: time.Minute}).Serve(f.listener) }()
 	}
-	books := make([]*poison.Tracker, hosts)
+	trackers := make([]*poison.Tracker, hosts)
 	for n := range hosts {
-		books[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
-			for other := range books {
+		trackers[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
+			for other := range trackers {
 				if other != n {
-					books[other].Merge(suspects, time.Now())
+					trackers[other].Merge(suspects, time.Now())
 				}
 			}
 		}))
 	}
 	for n := range hosts {
-		t.hosts = append(t.hosts, t.startHost(n, books[n]))
+		t.hosts = append(t.hosts, t.startHost(n, trackers[n]))
 	}
 	defer t.close()
 	var result PoisonResult
--- a/bench/call/trial.go
+++ b/bench/call/trial.go
@@ -1,12 +1,12 @@
 // Package call runs generated sequences of requests and faults against the
 // handlers of several entry hosts, instances and the control group's state
-// machine, connected in memory, and judges what callers were told against what
-// instances ran.
+// machine, connected in memory, and checks the outcomes that callers received
+// against what instances executed.
 //
 // Usage:
 //
 //	trial := call.NewTrial(call.Times{...})
-//	verdict := trial.Run(script)
+//	result := trial.Run(script)
 package call
 
 import (
@@ -29,7 +29,7 @@
 	"github.com/snipebeam/snipebeam/entry/route"
 	"github.com/snipebeam/snipebeam/entry/rules"
 	"github.com/snipebeam/snipebeam/entry/upstream"
-	known "github.com/snipebeam/snipebeam/world/instance"
+	worldinstance "github.com/snipebeam/snipebeam/world/instance"
 	"github.com/snipebeam/snipebeam/world/outcome"
 	"github.com/snipebeam/snipebeam/world/wire"
 )
@@ -39,19 +39,19 @@
 	idHeader  = "Request-Id"
 )
 
-// Numbers of a trial.
+// Numbers of entry hosts and instances in a trial.
 const (
 	Hosts     = 2
 	Instances = 2
 )
 
-// Times are the durations of a trial.
+// Times are the durations that a trial uses.
 type Times struct {
-	Deadline time.Duration // of every rule
-	Settle   time.Duration // after the last step, for what is still under way
+	Deadline time.Duration // of each rule
+	Settle   time.Duration // wait after the last request, for background work to finish
 }
 
-// StepKind is what a step of a script does.
+// StepKind is the kind of a step.
 type StepKind int
 
 // Kinds of steps.
@@ -66,15 +66,16 @@
 // Step is one step of a script.
 type Step struct {
 	Kind   StepKind
-	Host   int // entry host that is meant
-	Target int // instance that is meant
-	Key    int // 0: a request that may be repeated
+	Host   int // index of the entry host
+	Target int // index of the instance
+	Key    int // number of the idempotency key; 0: none, and the request may be retried
 	Body   int
 	Fault  Fault
 	Loss   Loss
 }
 
-// Result counts what a trial showed.
+// Result counts the requests of a trial and the violations of what callers were
+// guaranteed.
 type Result struct {
 	Sent          int
 	ExecutedTwice int
@@ -84,7 +85,7 @@
 	Violations    []string
 }
 
-// record is one request with what its caller was told.
+// record is a request with the response that its caller received.
 type record struct {
 	step     Step
 	id       string
@@ -94,7 +95,7 @@
 	complete bool
 }
 
-// Trial is one set of hosts and instances.
+// Trial is a set of entry hosts and instances.
 type Trial struct {
 	times         Times
 	instanceCount int
@@ -150,14 +151,14 @@
 	var members []route.Member
 	for k := range t.instanceCount {
 		address := fmt.Sprintf("i%d:1", k)
-		members = append(members, route.NewMember(known.New(known.ID(address), "shop", address), &route.Load{}))
+		members = append(members, route.NewMember(worldinstance.New(worldinstance.ID(address), "shop", address), &route.Load{}))
 	}
 	views.Store(map[string]*route.View{"shop": route.NewView("shop", members)})
 	table := rules.NewTable()
 	deadline := t.times.Deadline.String()
 	_, err := table.Advance(&wire.Version{Number: 1}, "route shop POST /pay/**: deadline "+deadline+", once Idempotency-Key # L: once\nroute shop: deadline "+deadline+", retries 2 # M: repeated\n")
 	if err != nil {
-		panic("call: the rules of a trial are wrong: " + err.Error())
+		panic("call: invalid rules: " + err.Error())
 	}
 	table.Confirm(1, time.Now())
 	h := &host{claims: &claimsClient{group: t.group}, pool: upstream.NewPool(upstream.WithDial(t.net.dial)), listener: t.net.listen(fmt.Sprintf("e%d:1", n))}
@@ -170,7 +171,8 @@
 	return h
 }
 
-// crashHost ends a host without a word, and starts another in its place.
+// crashHost stops a host without a graceful shutdown, and starts another in its
+// place.
 func (t *Trial) crashHost(n int) {
 	h := t.hosts[n]
 	h.claims.disconnect()
@@ -180,7 +182,7 @@
 	t.hosts[n] = t.startHost(n, poison.NewTracker())
 }
 
-// Run runs a script and returns what it showed.
+// Run runs a script and returns the result.
 func (t *Trial) Run(script []Step) Result {
 	for _, step := range script {
 		t.runStep(step)
@@ -188,9 +190,9 @@
 	t.clearFaults()
 	t.pending.Wait()
 	time.Sleep(t.times.Settle)
-	verdict := t.check()
+	result := t.check()
 	t.close()
-	return verdict
+	return result
 }
 
 func (t *Trial) runStep(step Step) {
@@ -210,12 +212,12 @@
 
 func (t *Trial) setFault(step Step) {
 	i := t.instances[step.Target]
-	was := i.currentFault()
+	previous := i.currentFault()
 	i.setFault(step.Fault)
 	switch {
-	case step.Fault == Down && was != Down:
+	case step.Fault == Down && previous != Down:
 		i.listener.kill()
-	case step.Fault != Down && was == Down:
+	case step.Fault != Down && previous == Down:
 		t.serveInstance(step.Target)
 	}
 }
@@ -231,10 +233,10 @@
 
 func (t *Trial) send(step Step) {
 	t.mu.Lock()
-	one := &record{step: step, id: fmt.Sprint("r", len(t.records))}
-	t.records = append(t.records, one)
+	rec := &record{step: step, id: fmt.Sprint("r", len(t.records))}
+	t.records = append(t.records, rec)
 	t.mu.Unlock()
-	t.pending.Go(func() { t.exchange(one) })
+	t.pending.Go(func() { t.exchange(rec) })
 }
 
 func pathOf(step Step) string {
@@ -251,16 +253,16 @@
 	return fmt.Sprint("k", step.Key)
 }
 
-func (t *Trial) exchange(one *record) {
-	step := one.step
+func (t *Trial) exchange(rec *record) {
+	step := rec.step
 	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://e%d:1%s", step.Host, pathOf(step)), strings.NewReader(fmt.Sprint("b", step.Body)))
 	if err != nil {
-		panic("call: a request of a trial is wrong: " + err.Error())
+		panic("call: invalid request: " + err.Error())
 	}
-	req.GetBody = nil // the client must not send it again by itself
+	req.GetBody = nil // so that the client does not retry on its own
 	req.Header.Set(caller.ServiceHeader, "shop")
 	req.Header.Set(caller.CallerHeader, "studio")
-	req.Header.Set(idHeader, one.id)
+	req.Header.Set(idHeader, rec.id)
 	if key := keyOf(step); key != "" {
 		req.Header.Set(keyHeader, key)
 	}
@@ -270,45 +272,45 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
-	one.outcome, one.status, one.body, one.complete = response.Header.Get(outcome.Header), response.StatusCode, string(data), err == nil
+	rec.outcome, rec.status, rec.body, rec.complete = response.Header.Get(outcome.Header), response.StatusCode, string(data), err == nil
 }
 
 func (t *Trial) check() Result {
-	v := Result{Sent: len(t.records), Outcomes: map[string]int{}}
+	r := Result{Sent: len(t.records), Outcomes: map[string]int{}}
 	ran := map[string]int{}
-	for _, one := range t.records {
+	for _, rec := range t.records {
 		ofKey, ofID := 0, 0
 		for _, i := range t.instances {
-			key, id := i.executions(keyOf(one.step), one.id)
+			key, id := i.executions(keyOf(rec.step), rec.id)
 			ofKey, ofID = ofKey+key, ofID+id
 		}
-		if one.step.Key > 0 {
-			ran[keyOf(one.step)] = ofKey
+		if rec.step.Key > 0 {
+			ran[keyOf(rec.step)] = ofKey
 		}
-		v.check(one, ofID)
+		r.check(rec, ofID)
 	}
-	for key, times := range ran {
-		if times > 1 {
-			v.ExecutedTwice++
-			v.Violations = append(v.Violations, fmt.Sprint(key, " ran ", times, " times"))
+	for key, count := range ran {
+		if count > 1 {
+			r.ExecutedTwice++
+			r.Violations = append(r.Violations, fmt.Sprint(key, " ran ", count, " times"))
 		}
 	}
-	return v
+	return r
 }
 
-func (v *Result) check(one *record, ran int) {
-	told := one.outcome
-	if told == "" {
-		told = "none"
+func (r *Result) check(rec *record, ran int) {
+	reported := rec.outcome
+	if reported == "" {
+		reported = "none"
 	}
-	v.Outcomes[told]++
+	r.Outcomes[reported]++
 	switch {
-	case told == string(outcome.NotRun) && ran > 0:
-		v.NotRunButRan++
-		v.Violations = append(v.Violations, one.id+" was told not-run and ran")
-	case told == string(outcome.Answer) && one.complete && one.body != expectedBody(pathOf(one.step), keyOf(one.step), one.id, fmt.Sprint("b", one.step.Body)):
-		v.WrongAnswers++
-		v.Violations = append(v.Violations, fmt.Sprintf("%s got %d %q", one.id, one.status, one.body))
+	case reported == string(outcome.NotRun) && ran > 0:
+		r.NotRunButRan++
+		r.Violations = append(r.Violations, rec.id+" was reported as not-run, but ran")
+	case reported == string(outcome.Answer) && rec.complete && rec.body != expectedBody(pathOf(rec.step), keyOf(rec.step), rec.id, fmt.Sprint("b", rec.step.Body)):
+		r.WrongAnswers++
+		r.Violations = append(r.Violations, fmt.Sprintf("%s got %d %q", rec.id, rec.status, rec.body))
 	}
 }
 
@@ -324,14 +326,14 @@
 	}
 }
 
-// Add adds what another trial showed.
-func (v *Result) Add(other Result) {
-	v.Sent += other.Sent
-	v.ExecutedTwice += other.ExecutedTwice
-	v.NotRunButRan += other.NotRunButRan
-	v.WrongAnswers += other.WrongAnswers
-	v.Violations = append(v.Violations, other.Violations...)
-	for told, n := range other.Outcomes {
-		v.Outcomes[told] += n
+// Add adds the result of another trial.
+func (r *Result) Add(other Result) {
+	r.Sent += other.Sent
+	r.ExecutedTwice += other.ExecutedTwice
+	r.NotRunButRan += other.NotRunButRan
+	r.WrongAnswers += other.WrongAnswers
+	r.Violations = append(r.Violations, other.Violations...)
+	for reported, n := range other.Outcomes {
+		r.Outcomes[reported] += n
 	}
 }
--- a/bench/call/trial_test.go
+++ b/bench/call/trial_test.go
@@ -26,31 +26,32 @@
 	}), 1, 40)
 }
 
-// Whatever fails, a key runs at most once, "not run" is true, and each answer
-// is the whole answer to its own request.
-func TestWhatCallersAreToldIsTrue(t *testing.T) {
+// Under any sequence of faults, a key is executed at most once, a request that is
+// reported as not-run was not executed, and each answer that arrives complete is the
+// right one for its request.
+func TestReportedOutcomesAreTrue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := steps().Draw(rt, "script")
-		var verdict call.Result
+		var result call.Result
 		synctest.Test(t, func(*testing.T) {
 			trial := call.NewTrial(call.Times{Deadline: 2 * time.Second, Settle: 15 * time.Minute})
-			verdict = trial.Run(script)
+			result = trial.Run(script)
 			time.Sleep(time.Hour)
 		})
-		if len(verdict.Violations) > 0 {
-			rt.Fatalf("%v", verdict.Violations)
+		if len(result.Violations) > 0 {
+			rt.Fatalf("%v", result.Violations)
 		}
 	})
 }
 
-func TestATrialSeesExecutionsAndAnswers(t *testing.T) {
+func TestTrialCountsExecutionsAndResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		trial := call.NewTrial(call.Times{Deadline: 2 * time.Second, Settle: time.Minute})
-		verdict := trial.Run([]call.Step{{Key: 1}, {Kind: call.Pause}, {Key: 1, Host: 1}, {Kind: call.Pause}, {Key: 1, Body: 1}, {Key: 2}, {}})
-		must.Eq(t, 5, verdict.Sent)
-		must.SliceEmpty(t, verdict.Violations)
-		must.Eq(t, 4, verdict.Outcomes["answer"])
-		must.Eq(t, 1, verdict.Outcomes["not-run"])
+		result := trial.Run([]call.Step{{Key: 1}, {Kind: call.Pause}, {Key: 1, Host: 1}, {Kind: call.Pause}, {Key: 1, Body: 1}, {Key: 2}, {}})
+		must.Eq(t, 5, result.Sent)
+		must.SliceEmpty(t, result.Violations)
+		must.Eq(t, 4, result.Outcomes["answer"])
+		must.Eq(t, 1, result.Outcomes["not-run"])
 		time.Sleep(time.Hour)
 	})
 }
--- a/bench/callload.go
+++ b/bench/callload.go
@@ -19,7 +19,7 @@
 
 func init() { register("call", measureLoad) }
 
-// Size and bounds of the load.
+// Size of the load, and its bound.
 const (
 	addedBoundMs   = 0.99
 	latencyCallers = 4
@@ -35,7 +35,7 @@
 
 var threadCounts = []int{1, 2, 4, 8}
 
-// loader sends requests one after the other and records their times.
+// loader sends requests one after the other and records their latency.
 type loader struct {
 	client  *http.Client
 	address string
@@ -61,51 +61,52 @@
 	}
 	response, err := l.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "load")
+		return errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("load: %s", response.Status)
+		return errors.Errorf("unexpected status: %s", response.Status)
 	}
 	_, err = io.Copy(io.Discard, response.Body)
-	return errors.Wrap(err, "read answer")
+	return errors.Wrap(err, "read response")
 }
 
-// run sends from several callers at once and returns the times in microseconds.
+// run sends from several callers concurrently and returns a histogram of the
+// latency in microseconds.
 func (l *loader) run(callers int, d time.Duration) (*hdrhistogram.Histogram, error) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	var failed error
+	var runErr error
 	all := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	until := time.Now().Add(d)
 	for range callers {
 		group.Go(func() {
-			own := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+			local := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 			var err error
 			for time.Now().Before(until) && err == nil {
 				started := time.Now()
 				err = l.send()
-				_ = own.RecordValue(time.Since(started).Microseconds())
+				_ = local.RecordValue(time.Since(started).Microseconds())
 				time.Sleep(l.pause)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.Merge(own)
+			all.Merge(local)
 			if err != nil {
-				failed = err
+				runErr = err
 			}
 		})
 	}
 	group.Wait()
-	return all, failed
+	return all, runErr
 }
 
 func quantileMs(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// measureLoad measures what an entry host adds to a call, how many it takes
-// and what a claim costs.
+// measureLoad measures the latency that an entry host adds to a call, the
+// latency that a claim adds, and the throughput of an entry host.
 func measureLoad(emit func(figure.Figure)) error {
 	c, done, err := callCluster(1)
 	if err != nil {
@@ -131,8 +132,9 @@
 	return measureRates(emit, c)
 }
 
-// measureAdded runs callers with and without an entry host between them and
-// the instance at the same time.
+// measureAdded measures the latency that an entry host adds. Callers with and
+// without an entry host between them and the instance run at the same time, so
+// that both see the same load of the machine.
 func measureAdded(emit func(figure.Figure), direct, entry string) error {
 	var group sync.WaitGroup
 	var without, with *hdrhistogram.Histogram
@@ -172,20 +174,21 @@
 	return nil
 }
 
-// measureRates restarts the entry host with different numbers of threads.
+// measureRates measures the throughput of an entry host that is restarted with
+// each number of threads.
 func measureRates(emit func(figure.Figure), c *cluster.Cluster) error {
 	entry := c.Entries[0]
-	before, given := os.LookupEnv(threadsSetting)
-	defer restoreEnv(threadsSetting, before, given)
+	previous, isSet := os.LookupEnv(threadsSetting)
+	defer restoreEnv(threadsSetting, previous, isSet)
 	for _, threads := range threadCounts {
 		entry.Kill()
 		if err := os.Setenv(threadsSetting, strconv.Itoa(threads)); err != nil {
-			return errors.Wrap(err, "set threads")
+			return errors.Wrap(err, "set number of threads")
 		}
 		if err := c.Restart(entry, entry.Name(), "snipebeam-entry"); err != nil {
 			return err
 		}
-		restoreEnv(threadsSetting, before, given)
+		restoreEnv(threadsSetting, previous, isSet)
 		if err := c.WaitReady(); err != nil {
 			return err
 		}
@@ -197,8 +200,8 @@
 	return nil
 }
 
-func restoreEnv(name, value string, given bool) {
-	if !given {
+func restoreEnv(name, value string, isSet bool) {
+	if !isSet {
 		_ = os.Unsetenv(name)
 		return
 	}
@@ -211,11 +214,11 @@
 	if _, err := l.run(rateCallers, rateTime/4); err != nil {
 		return err
 	}
-	allocated, err := metricOf(entry.Platform, allocMetric)
+	before, err := metricOf(entry.Platform, allocMetric)
 	if err != nil {
 		return err
 	}
-	times, err := l.run(rateCallers, rateTime)
+	latencies, err := l.run(rateCallers, rateTime)
 	if err != nil {
 		return err
 	}
@@ -223,9 +226,9 @@
 	if err != nil {
 		return err
 	}
-	n := float64(times.TotalCount())
+	n := float64(latencies.TotalCount())
 	emit(figure.Plain("call", fmt.Sprintf("requestsPerSecond%dThreads", threads), n/rateTime.Seconds(), "1/s").With("callers and instance on the same machine"))
-	emit(figure.Plain("call", fmt.Sprintf("allocatedBytesPerRequest%dThreads", threads), (after-allocated)/n, "B"))
+	emit(figure.Plain("call", fmt.Sprintf("allocatedBytesPerRequest%dThreads", threads), (after-before)/n, "B"))
 	return nil
 }
 
@@ -246,5 +249,5 @@
 			return strconv.ParseFloat(string(fields[1]), 64)
 		}
 	}
-	return 0, errors.Errorf("there is no metric %s", name)
+	return 0, errors.Errorf("metric %s not found", name)
 }
--- a/bench/callstop.go
+++ b/bench/callstop.go
@@ -30,7 +30,7 @@
 route pay POST: deadline 5s # bench: the same without a claim
 `
 
-// Size of the stops that are measured.
+// Sizes, load and timing of the measured stops.
 const (
 	stopHosts       = 6
 	concurrentStops = 2
@@ -48,7 +48,8 @@
 	programs        = "entry control standin"
 )
 
-// measureStops stops hosts while an upload and a load are under way.
+// measureStops counts the requests that planned stops interrupt: a host is
+// stopped during an upload, and all hosts are restarted under load.
 func measureStops(emit func(figure.Figure)) error {
 	c, done, err := callCluster(stopHosts)
 	if err != nil {
@@ -72,26 +73,27 @@
 		})
 	})
 	uploadErr := uploadThroughStop(c)
-	rollErr := rollingRestart(c)
+	restartErr := rollingRestart(c)
 	group.Wait()
-	if rollErr != nil {
-		return rollErr
+	if restartErr != nil {
+		return restartErr
 	}
-	cut := summary.Sent - summary.Outcomes["answer"]
+	interrupted := summary.Sent - summary.Outcomes["answer"]
 	note := fmt.Sprintf("one 200 MB upload stopped halfway, %d requests during a restart of %d hosts, %d at a time: %v", summary.Sent, stopHosts, concurrentStops, summary.Outcomes)
 	if uploadErr != nil {
-		cut++
+		interrupted++
 		note += "; upload: " + uploadErr.Error()
 	}
-	emit(figure.AtMost("call", "cutByPlannedStop", float64(cut), "requests", 0).With(note))
+	emit(figure.AtMost("call", "cutByPlannedStop", float64(interrupted), "requests", 0).With(note))
 	return nil
 }
 
-// callCluster runs real hosts under the rules of this area.
+// callCluster builds the programs and starts a cluster of processes with the
+// rules of this area. The returned function stops it and removes its files.
 func callCluster(entries int) (*cluster.Cluster, func(), error) {
 	dir, err := os.MkdirTemp("", "snipebeam-call-")
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "make folder")
+		return nil, nil, errors.Wrap(err, "create folder")
 	}
 	remove := func() { _ = os.RemoveAll(dir) }
 	for _, program := range bytes.Fields([]byte(programs)) {
@@ -132,20 +134,21 @@
 
 func submitRules(c *cluster.Cluster) error {
 	req := &wire.SubmitRequest{SubmissionId: "bench", Text: callRules, Author: "bench", Reason: "measure"}
-	var last error
+	var lastErr error
 	for n := range submitAttempts {
 		address := c.Controls[n%len(c.Controls)].Peers
 		response, err := wire.NewRulesProtobufClient("http://"+address, http.DefaultClient).Submit(context.Background(), req)
 		if err == nil && response.GetAccepted() {
 			return nil
 		}
-		last = errors.Errorf("rules not accepted: %v %s", err, response.GetRefusal())
+		lastErr = errors.Errorf("rules not accepted: %v %s", err, response.GetRefusal())
 		time.Sleep(submitPause)
 	}
-	return last
+	return lastErr
 }
 
-// slowUpload gives a body in parts, and stops a host halfway.
+// slowUpload is a request body that is read in parts, and calls a function
+// halfway.
 type slowUpload struct {
 	remaining int
 	digest    *xxhash.Digest
@@ -153,7 +156,7 @@
 	part      []byte
 }
 
-// Read gives the next part after a pause.
+// Read returns the next bytes, with a pause before each part.
 func (u *slowUpload) Read(p []byte) (int, error) {
 	if u.remaining == 0 {
 		return 0, io.EOF
@@ -179,7 +182,7 @@
 	upload := &slowUpload{remaining: uploadBytes, digest: xxhash.New(), atHalf: func() { _ = entry.Signal(syscall.SIGTERM) }}
 	req, err := http.NewRequest(http.MethodPost, "http://"+entry.Callers+"/photos/1", upload)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	req.Host, req.ContentLength = "photos", uploadBytes
 	response, err := http.DefaultClient.Do(req)
@@ -187,40 +190,40 @@
 		return errors.Wrap(err, "upload")
 	}
 	defer func() { _ = response.Body.Close() }()
-	var answer struct {
+	var received struct {
 		BodyBytes  int    `json:"bodyBytes"`
 		BodyDigest string `json:"bodyDigest"`
 	}
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
-		return errors.Wrapf(err, "read answer %s", response.Status)
+	if err := json.NewDecoder(response.Body).Decode(&received); err != nil {
+		return errors.Wrapf(err, "decode response %s", response.Status)
 	}
-	if answer.BodyBytes != uploadBytes || answer.BodyDigest != fmt.Sprintf("%016x", upload.digest.Sum64()) {
-		return errors.Errorf("%d bytes arrived with another digest", answer.BodyBytes)
+	if received.BodyBytes != uploadBytes || received.BodyDigest != fmt.Sprintf("%016x", upload.digest.Sum64()) {
+		return errors.Errorf("upload corrupted: %d bytes received, size or digest differs", received.BodyBytes)
 	}
 	if err := entry.Wait(stopLimit); err != nil {
-		return errors.Wrap(err, "the stopped host")
+		return errors.Wrap(err, "wait for the stopped host")
 	}
 	if err := c.Restart(entry, entry.Name(), "snipebeam-entry"); err != nil {
 		return err
 	}
-	return c.WaitReady() // a program that just started knows no signals yet
+	return c.WaitReady() // a process that has just started does not handle signals yet
 }
 
-// rollingRestart restarts every host gracefully, a few at a time.
+// rollingRestart gracefully restarts every host, concurrentStops at a time.
 func rollingRestart(c *cluster.Cluster) error {
 	for from := 0; from < len(c.Entries); from += concurrentStops {
-		failed := make(chan error, concurrentStops)
+		results := make(chan error, concurrentStops)
 		for _, entry := range c.Entries[from : from+concurrentStops] {
 			go func() {
 				err := entry.Terminate(stopLimit)
 				if err == nil {
 					err = c.Restart(entry, entry.Name(), "snipebeam-entry")
 				}
-				failed <- err
+				results <- err
 			}()
 		}
 		for range concurrentStops {
-			if err := <-failed; err != nil {
+			if err := <-results; err != nil {
 				return err
 			}
 		}
--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -75,13 +75,12 @@
 	return float64(time.Since(start).Nanoseconds()) / float64(n)
 }
 
-// heapGrowth returns the bytes that stay alive because of a call; what it
-// returns is kept until then.
+// heapGrowth returns the heap bytes that the result of a call keeps alive.
 func heapGrowth(call func() any) float64 {
 	before := liveHeap()
-	kept := call()
+	result := call()
 	after := liveHeap()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return float64(after) - float64(before)
 }
 
@@ -95,7 +94,7 @@
 
 const linesPerService = 5
 
-// rulesText returns a rules file with a number of lines.
+// rulesText returns a rules file of the given number of lines.
 func rulesText(lines int) string {
 	var b bytes.Buffer
 	for n := range lines {
@@ -144,8 +143,8 @@
 	return reg
 }
 
-// publishNs returns the time of one change in a service of a size, among 3,900
-// instances.
+// publishNs returns the time to publish one change of an instance, in a service
+// of perService instances, among 3,900 instances of all services.
 func publishNs(perService int) (float64, error) {
 	const instances = 3900
 	services := instances / perService
--- a/bench/capacitymembership.go
+++ b/bench/capacitymembership.go
@@ -11,20 +11,20 @@
 func init() { register("capacity", measureMembershipSlopes) }
 
 const (
-	meshSpan  = 10 * time.Second // of virtual time
+	meshSpan  = 10 * time.Second // virtual time
 	meshHosts = 29
 )
 
-// meshCost is what membership costs one host. Its bytes a second are measured
-// in the control area, since they settle slowly.
+// meshCost is what membership costs one host. The bytes per second are measured
+// in the control area, because they take long to reach a steady state.
 type meshCost struct {
-	cpuNs     float64 // nanoseconds of processor time a second
-	heapBytes float64 // bytes of state
+	cpuNs     float64 // CPU time in nanoseconds per second
+	heapBytes float64 // heap bytes of the state
 }
 
-// measureMesh returns what a host spends in a group of a size. The processor
-// time holds the heartbeats that the host hears and the making of datagrams,
-// not their encoding.
+// measureMesh returns the cost of one host in a group of the given size. The CPU
+// time includes processing the heartbeats that the host receives and building
+// its datagrams, not encoding them.
 func measureMesh(hosts, instances int) meshCost {
 	var g *membership.Group
 	heap := heapGrowth(func() any {
@@ -34,20 +34,21 @@
 	g.Run(membershipSettle)
 	start := time.Now()
 	g.Run(meshSpan)
-	spent := time.Since(start)
+	elapsed := time.Since(start)
 	perSecond := float64(hosts) * meshSpan.Seconds()
-	return meshCost{cpuNs: float64(spent.Nanoseconds()) / perSecond, heapBytes: heap / float64(hosts)}
+	return meshCost{cpuNs: float64(elapsed.Nanoseconds()) / perSecond, heapBytes: heap / float64(hosts)}
 }
 
-// measureMembershipSlopes prints how the cost of one host grows with instances.
+// measureMembershipSlopes emits how the cost of one host grows with the number
+// of instances.
 func measureMembershipSlopes(emit func(figure.Figure)) error {
-	var core, heap []slope.Point
+	var cpu, heap []slope.Point
 	for _, instances := range []int{60, 500, 2000, 3900} {
 		cost := measureMesh(meshHosts, instances)
-		core = append(core, slope.Point{X: float64(instances), Y: cost.cpuNs})
+		cpu = append(cpu, slope.Point{X: float64(instances), Y: cost.cpuNs})
 		heap = append(heap, slope.Point{X: float64(instances), Y: cost.heapBytes})
 	}
-	if err := emitSlope(emit, "membershipCoreNsPerSecondPerInstance", "ns/s", core); err != nil {
+	if err := emitSlope(emit, "membershipCoreNsPerSecondPerInstance", "ns/s", cpu); err != nil {
 		return err
 	}
 	return emitSlope(emit, "membershipHeapBytesPerInstance", "bytes", heap)
--- a/bench/control.go
+++ b/bench/control.go
@@ -12,7 +12,8 @@
 
 func init() { register("control", measureSchedules) }
 
-// Size of the generated schedules. The seeds differ from those of the tests.
+// Size of the generated schedules. Their seeds differ from those of the tests,
+// so that the bench covers other schedules.
 const (
 	scheduleCount     = 5000
 	scheduleSteps     = 600
@@ -20,7 +21,8 @@
 	scheduleWorkers   = 3
 )
 
-// scheduleTally sums up what many schedules did and broke.
+// scheduleTally sums up the events and the violated invariants of many
+// schedules.
 type scheduleTally struct {
 	mu                sync.Mutex
 	runs              int
@@ -67,8 +69,8 @@
 	return note
 }
 
-// measureSchedules runs generated schedules on disks that lose what was not
-// synced and counts the promises that were broken.
+// measureSchedules runs generated schedules on simulated disks that lose
+// unsynced writes, and counts the violations of each invariant.
 func measureSchedules(emit func(figure.Figure)) error {
 	tally := &scheduleTally{violations: map[schedule.Invariant]int{}}
 	var next atomic.Uint64
--- a/bench/controlclaims.go
+++ b/bench/controlclaims.go
@@ -16,14 +16,14 @@
 
 func init() { register("control", measureClaims) }
 
-// Load of the claims.
+// Size of the load of claims.
 const (
 	claimClients  = 64
 	claimDuration = 5 * time.Second
 	maxLatencyUs  = int64(10 * time.Second / time.Microsecond)
 )
 
-// claimLoad is what clients that claim one key after another saw.
+// claimLoad is the result of clients that each claim one key after another.
 type claimLoad struct {
 	granted  int
 	failed   int
@@ -40,7 +40,7 @@
 	}
 }
 
-// loadClaims lets a number of clients claim, spread over all hosts.
+// loadClaims runs clients that claim keys, spread over all hosts, for a duration.
 func loadClaims(g *controlGroup, clients int, d time.Duration) claimLoad {
 	histogram := hdrhistogram.New(1, maxLatencyUs, 3)
 	var mu sync.Mutex
@@ -64,10 +64,10 @@
 		})
 	}
 	group.Wait()
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	return claimLoad{
-		granted: int(granted.Load()), failed: int(failed.Load()), duration: took,
-		perS:  float64(granted.Load()) / took.Seconds(),
+		granted: int(granted.Load()), failed: int(failed.Load()), duration: elapsed,
+		perS:  float64(granted.Load()) / elapsed.Seconds(),
 		p50Ms: float64(histogram.ValueAtQuantile(50)) / 1000, p99Ms: float64(histogram.ValueAtQuantile(99)) / 1000,
 	}
 }
@@ -80,27 +80,27 @@
 		return err
 	}
 	if response.GetState() != wire.ClaimState_CLAIM_GRANTED {
-		return errors.Errorf("the claim is %s", response.GetState())
+		return errors.Errorf("claim not granted: %s", response.GetState())
 	}
 	return nil
 }
 
-// measureClaims compares many claims at a time, which share syncs, with one
-// claim at a time, which has its syncs for itself.
+// measureClaims compares concurrent claims, which are committed in batches that
+// share a disk sync, with one claim at a time, which needs its own syncs.
 func measureClaims(emit func(figure.Figure)) error {
 	g, err := newControlGroup(3)
 	if err != nil {
 		return err
 	}
 	defer g.close()
-	alone := loadClaims(g, 1, claimDuration)
-	together := loadClaims(g, claimClients, claimDuration)
-	note := fmt.Sprintf("3 processes on one machine, synced files, %d clients, %d granted, %d failed", claimClients, together.granted, together.failed)
-	emit(figure.Plain("control", "claimsPerSecond", together.perS, "1/s").With(note))
-	emit(figure.Plain("control", "claimP50Ms", together.p50Ms, "ms"))
-	emit(figure.Plain("control", "claimP99Ms", together.p99Ms, "ms"))
-	emit(figure.Plain("control", "claimsPerSecondOneSyncEach", alone.perS, "1/s").With("one client: each claim has its syncs for itself"))
-	emit(figure.Plain("control", "claimP99MsOneSyncEach", alone.p99Ms, "ms"))
-	emit(figure.AtLeast("control", "claimsPerSecondToOneSyncEach", together.perS/alone.perS, "ratio", 1))
+	single := loadClaims(g, 1, claimDuration)
+	concurrent := loadClaims(g, claimClients, claimDuration)
+	note := fmt.Sprintf("3 processes on one machine, synced files, %d clients, %d granted, %d failed", claimClients, concurrent.granted, concurrent.failed)
+	emit(figure.Plain("control", "claimsPerSecond", concurrent.perS, "1/s").With(note))
+	emit(figure.Plain("control", "claimP50Ms", concurrent.p50Ms, "ms"))
+	emit(figure.Plain("control", "claimP99Ms", concurrent.p99Ms, "ms"))
+	emit(figure.Plain("control", "claimsPerSecondOneSyncEach", single.perS, "1/s").With("one client: each claim has its syncs for itself"))
+	emit(figure.Plain("control", "claimP99MsOneSyncEach", single.p99Ms, "ms"))
+	emit(figure.AtLeast("control", "claimsPerSecondToOneSyncEach", concurrent.perS/single.perS, "ratio", 1))
 	return nil
 }
--- a/bench/controlgroup.go
+++ b/bench/controlgroup.go
@@ -14,25 +14,26 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// Bounds of the waits for a control group.
+// Limits of waits for a control group, and of calls to it.
 const (
 	groupReadyLimit = 20 * time.Second
 	groupPoll       = time.Millisecond
 	callLimit       = 3 * time.Second
 )
 
-// controlGroup is a group of real processes on loopback with clients.
+// controlGroup is a control group of processes on loopback, with an HTTP client.
 type controlGroup struct {
 	cluster *cluster.Cluster
 	dir     string
 	client  *http.Client
 }
 
-// newControlGroup builds the program, starts n hosts and waits for a leader.
+// newControlGroup builds the program, starts n hosts and waits until all of them
+// serve current reads.
 func newControlGroup(n int) (*controlGroup, error) {
 	dir, err := os.MkdirTemp("", "snipebeam-control-")
 	if err != nil {
-		return nil, errors.Wrap(err, "make folder")
+		return nil, errors.Wrap(err, "create folder")
 	}
 	g := &controlGroup{dir: dir, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	if err := g.start(n); err != nil {
@@ -76,7 +77,7 @@
 
 func hostName(n int) string { return fmt.Sprintf("control-%d", n+1) }
 
-// awaitCurrent waits until a host answers a read as current.
+// awaitCurrent waits until a host serves a read that is not stale.
 func (g *controlGroup) awaitCurrent(n int) (*wire.ReadResponse, error) {
 	deadline := time.Now().Add(groupReadyLimit)
 	for time.Now().Before(deadline) {
@@ -88,7 +89,7 @@
 		}
 		time.Sleep(groupPoll)
 	}
-	return nil, errors.Errorf("%s gives no current answer within %s", hostName(n), groupReadyLimit)
+	return nil, errors.Errorf("%s served no current read within %s", hostName(n), groupReadyLimit)
 }
 
 func (g *controlGroup) awaitQuorum() error {
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// leader returns the number of the leading host.
+// leader returns the index of the leader.
 func (g *controlGroup) leader() (int, error) {
 	deadline := time.Now().Add(groupReadyLimit)
 	for time.Now().Before(deadline) {
@@ -114,7 +115,7 @@
 		}
 		time.Sleep(groupPoll)
 	}
-	return 0, errors.New("the control group has no leader")
+	return 0, errors.New("control group has no leader")
 }
 
 func (g *controlGroup) restart(n int) error {
--- a/bench/controlkill.go
+++ b/bench/controlkill.go
@@ -16,17 +16,17 @@
 
 func init() { register("control", measureLeaderLoss) }
 
-// Bounds and size of the trials of a lost leader.
+// Size, timing and bound of the trials that stop the leader.
 const (
 	pauseBoundMs     = 1000
 	killTrials       = 5
 	killClients      = 12
 	beforeKill       = 500 * time.Millisecond
 	afterKill        = 2 * time.Second
-	killClaimTimeout = 400 * time.Millisecond // a client's limit before it asks another host
+	killClaimTimeout = 400 * time.Millisecond // before a client tries the next host
 )
 
-// claimRecorder is a client that remembers what it was told.
+// claimRecorder records the claims that clients were granted, and when.
 type claimRecorder struct {
 	mu            sync.Mutex
 	granted       []*wire.ClaimRequest
@@ -40,7 +40,7 @@
 	w.responseTimes = append(w.responseTimes, time.Now())
 }
 
-// longestPause returns the longest time without an answer after a moment.
+// longestPause returns the longest time without a response after a moment.
 func (w *claimRecorder) longestPause(after time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,8 +56,8 @@
 	return longest
 }
 
-// claimUntil claims new keys until told to stop; a request without an answer is
-// sent again to the next host with the same claim id, as entry hosts do.
+// claimUntil claims new keys until stop is set. A request without a response
+// is sent again to the next host with the same claim id, as entry hosts do.
 func (w *claimRecorder) claimUntil(g *controlGroup, first int, stop *atomic.Bool) {
 	at := first
 	for !stop.Load() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// stopLeader loads the group, ends its leader with a signal, and returns the
-// longest pause of the answers.
+// stopLeader signals the leader to end while the group is under load, and
+// returns the longest pause between responses.
 func stopLeader(g *controlGroup, w *claimRecorder, signal syscall.Signal) (time.Duration, error) {
 	leader, err := g.leader()
 	if err != nil {
@@ -88,7 +88,7 @@
 		group.Go(func() { w.claimUntil(g, n, &stop) })
 	}
 	time.Sleep(beforeKill)
-	lost := time.Now()
+	signalled := time.Now()
 	err = g.cluster.Controls[leader].Signal(signal)
 	time.Sleep(afterKill)
 	stop.Store(true)
@@ -97,15 +97,15 @@
 		return 0, errors.Wrap(err, "signal the leader")
 	}
 	_ = g.cluster.Controls[leader].Wait(groupReadyLimit)
-	pause := w.longestPause(lost)
+	pause := w.longestPause(signalled)
 	if err := g.restart(leader); err != nil {
 		return 0, err
 	}
 	return pause, g.awaitQuorum()
 }
 
-// measureLeaderLoss ends the leader again and again under load, and then asks
-// for every claim that was granted and every change that was accepted.
+// measureLeaderLoss repeatedly ends the leader under load, and then checks that
+// every granted claim and every accepted change is still there.
 func measureLeaderLoss(emit func(figure.Figure)) error {
 	g, err := newControlGroup(3)
 	if err != nil {
--- a/bench/controlrecover.go
+++ b/bench/controlrecover.go
@@ -17,7 +17,7 @@
 
 func init() { register("control", measureRecovery) }
 
-// State that a control host recovers from, and the bounds.
+// Size of the state that a control host recovers, and the bounds.
 const (
 	recoverChanges  = 1000
 	recoverClaims   = 100_000
@@ -26,7 +26,7 @@
 	fillClients     = 128
 )
 
-// benchRules returns a rules text of usual size that differs by a number.
+// benchRules returns a rules text of typical size that differs for each n.
 func benchRules(n uint64) string {
 	var text strings.Builder
 	for line := range 20 {
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// measureRecovery restarts hosts that hold many changes and live claims.
+// measureRecovery measures the restart of hosts with many changes and live
+// claims.
 func measureRecovery(emit func(figure.Figure)) error {
 	g, err := newControlGroup(3)
 	if err != nil {
@@ -118,7 +119,7 @@
 
 func recoveryTime(g *controlGroup, n int, start time.Time) (time.Duration, error) {
 	response, err := g.awaitCurrent(n)
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	if err == nil && response.GetVersion().GetNumber() != recoverChanges {
 		err = errors.Errorf("version %d is in force after the restart", response.GetVersion().GetNumber())
 	}
@@ -131,7 +132,7 @@
 	if err == nil && status.GetClaimsOutstanding() < recoverClaims {
 		err = errors.Errorf("%d claims are live after the restart", status.GetClaimsOutstanding())
 	}
-	return took, err
+	return elapsed, err
 }
 
 func recoverAll(g *controlGroup) (time.Duration, error) {
@@ -147,18 +148,18 @@
 	return recoveryTime(g, 0, start)
 }
 
-// residentMB returns the memory of the largest control host.
+// residentMB returns the resident memory of the largest control host.
 func residentMB(g *controlGroup) (float64, error) {
 	largest := 0.0
 	for _, host := range g.cluster.Controls {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", host.PID()))
 		if err != nil {
-			return 0, errors.Wrap(err, "read memory")
+			return 0, errors.Wrap(err, "read resident memory")
 		}
 		_, rest, _ := strings.Cut(string(data), "VmRSS:")
 		kb, err := strconv.ParseFloat(strings.Fields(rest)[0], 64)
 		if err != nil {
-			return 0, errors.Wrap(err, "read memory")
+			return 0, errors.Wrap(err, "read resident memory")
 		}
 		largest = max(largest, kb/1024)
 	}
--- a/bench/controlstate.go
+++ b/bench/controlstate.go
@@ -12,8 +12,8 @@
 
 func init() { register("control", measureState) }
 
-// measureState measures what a snapshot of many live claims costs: commits
-// wait for the freeze alone.
+// measureState measures the cost of a snapshot of many live claims. Only the
+// freeze delays commits; encoding runs concurrently with them.
 func measureState(emit func(figure.Figure)) error {
 	machine := state.New()
 	for range recoverClaims {
@@ -21,19 +21,19 @@
 	}
 	start := time.Now()
 	frozen := machine.Freeze()
-	froze := time.Since(start)
+	freezeTime := time.Since(start)
 	data, err := frozen.Encode()
-	encoded := time.Since(start) - froze
+	encodeTime := time.Since(start) - freezeTime
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode snapshot")
 	}
 	start = time.Now()
 	if err := state.New().Restore(data); err != nil {
-		return errors.Wrap(err, "restore")
+		return errors.Wrap(err, "restore snapshot")
 	}
 	note := fmt.Sprintf("%d live claims", recoverClaims)
-	emit(figure.Plain("control", "snapshotFreezeMs", ms(froze), "ms").With(note + "; commits wait for this"))
-	emit(figure.Plain("control", "snapshotEncodeMs", ms(encoded), "ms").With(note + "; beside commits"))
+	emit(figure.Plain("control", "snapshotFreezeMs", ms(freezeTime), "ms").With(note + "; commits wait for this"))
+	emit(figure.Plain("control", "snapshotEncodeMs", ms(encodeTime), "ms").With(note + "; beside commits"))
 	emit(figure.Plain("control", "snapshotRestoreMs", ms(time.Since(start)), "ms").With(note))
 	emit(figure.Plain("control", "snapshotBytes", float64(len(data)), "bytes").With(note))
 	return nil
--- a/bench/decision.go
+++ b/bench/decision.go
@@ -15,8 +15,8 @@
 
 const (
 	decisionLines     = 200_000
-	decisionRate      = 20_000 // lines a second
-	typicalCandidates = 10     // candidates of a decision
+	decisionRate      = 20_000 // lines per second
+	typicalCandidates = 10     // of a decision
 )
 
 func decisionOf(candidates int) *decision.Decision {
@@ -31,8 +31,8 @@
 	return d
 }
 
-// measureDecisionLog writes lines at a rate and measures the time that each
-// takes on the writer's side, and how many were dropped.
+// measureDecisionLog writes lines at a fixed rate, and measures the time that
+// one takes the writer and the number of dropped lines.
 func measureDecisionLog(emit func(figure.Figure)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := decision.NewLog(logging.New("bench", "info", io.Discard))
--- a/bench/distribution.go
+++ b/bench/distribution.go
@@ -21,12 +21,12 @@
 	controlResidentBoundMB  = 256
 )
 
-// Sizes of today.
+// Sizes of the current deployment.
 const (
 	entryHosts       = 29
 	controlHosts     = 3
 	currentInstances = 31
-	dayChanges       = 14_000 // changes of configuration a day
+	dayChanges       = 14_000 // configuration changes per day
 )
 
 const (
@@ -39,7 +39,7 @@
 	settleSpan    = 8 * time.Second
 )
 
-// distribution measures one running fleet.
+// distribution measures a running fleet.
 type distribution struct {
 	fleet *fleet.Fleet
 	emit  func(figure.Figure)
@@ -64,31 +64,32 @@
 	return nil
 }
 
-// usage reads what a host spends with today's instances while rules change as
-// often as in two years.
+// usage measures the resources of a host with the current number of instances,
+// while rules change as often as is expected in two years.
 func (d *distribution) usage() error {
-	r, err := d.measureUsage(dayChanges, usageSpan)
+	rate, err := d.measureUsage(dayChanges, usageSpan)
 	if err != nil {
 		return err
 	}
 	note := fmt.Sprintf("%d entry processes, %d instances, %d changes a day, announcements included; largest of the hosts", entryHosts, currentInstances, dayChanges)
-	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", r.BytesPerSecond, "bytes/s", controlBytesBound).With(note))
-	d.emit(figure.AtMost("control", "controlCorePercentPerHost", r.CorePercent, "%", controlCoreBoundPercent).With(fmt.Sprintf("%s; the mean is %.2f", note, r.MeanCorePercent)))
-	d.emit(figure.AtMost("control", "controlResidentMB", r.ResidentMB, "MB", controlResidentBoundMB).With(note))
-	d.emit(figure.Plain("control", "controlHostCorePercent", r.ControlCorePercent, "%").With("largest of the control processes"))
-	d.emit(figure.AtMost("control", "controlHostResidentMB", r.ControlResidentMB, "MB", controlResidentBoundMB).With("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", rate.BytesPerSecond, "bytes/s", controlBytesBound).With(note))
+	d.emit(figure.AtMost("control", "controlCorePercentPerHost", rate.CorePercent, "%", controlCoreBoundPercent).With(fmt.Sprintf("%s; the mean is %.2f", note, rate.MeanCorePercent)))
+	d.emit(figure.AtMost("control", "controlResidentMB", rate.ResidentMB, "MB", controlResidentBoundMB).With(note))
+	d.emit(figure.Plain("control", "controlHostCorePercent", rate.ControlCorePercent, "%").With("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlHostResidentMB", rate.ControlResidentMB, "MB", controlResidentBoundMB).With("largest of the control processes"))
 	return nil
 }
 
-// measureUsage submits at a rate for a time and returns what the hosts spent.
-func (d *distribution) measureUsage(changesADay float64, span time.Duration) (fleet.Rate, error) {
+// measureUsage submits changes at a rate for a span and returns the resources
+// that the hosts used.
+func (d *distribution) measureUsage(changesPerDay float64, span time.Duration) (fleet.Rate, error) {
 	before := d.fleet.Usage()
 	end := time.Now().Add(span)
-	for changesADay > 0 && time.Now().Before(end) {
+	for changesPerDay > 0 && time.Now().Before(end) {
 		if _, err := d.fleet.Submit(); err != nil {
 			return fleet.Rate{}, err
 		}
-		time.Sleep(min(time.Duration(float64(24*time.Hour)/changesADay), time.Until(end)))
+		time.Sleep(min(time.Duration(float64(24*time.Hour)/changesPerDay), time.Until(end)))
 	}
 	time.Sleep(time.Until(end))
 	return d.fleet.Usage().Since(before), nil
@@ -120,7 +121,7 @@
 	return d.report("acceptToInForceP99Ms", accepted, "no fault")
 }
 
-// leaderKilled kills the leader again and again while changes are submitted.
+// leaderKilled repeatedly kills the leader while changes are submitted.
 func (d *distribution) leaderKilled() error {
 	var accepted []fleet.Accepted
 	for range kills {
@@ -129,11 +130,11 @@
 			return err
 		}
 		leader.Kill()
-		some, err := d.submit(killChanges)
+		more, err := d.submit(killChanges)
 		if err != nil {
 			return err
 		}
-		accepted = append(accepted, some...)
+		accepted = append(accepted, more...)
 		if err := d.fleet.Restart(leader, leader.Name(), "snipebeam-control"); err != nil {
 			return errors.Wrap(err, "restart the leader")
 		}
@@ -155,7 +156,8 @@
 	return all, nil
 }
 
-// report waits until the last version must be in force and reads the logs.
+// report waits until the bound for the last version has passed, and reads from
+// the logs when each version was in force on all hosts.
 func (d *distribution) report(name string, accepted []fleet.Accepted, note string) error {
 	time.Sleep(inForceBoundMs * time.Millisecond)
 	var versions []uint64
--- a/bench/distributionslopes.go
+++ b/bench/distributionslopes.go
@@ -10,21 +10,21 @@
 
 const slopeSpan = 10 * time.Second
 
-// sizes that the slopes are measured at.
+// Sizes at which the slopes are measured.
 var (
 	slopeHosts     = []int{8, 16}
 	slopeChanges   = []float64{0, 86_400, 432_000}
 	slopeInstances = []int{250, 1000}
 )
 
-// cost is what one size spends.
+// cost is the resource usage at one size.
 type cost struct {
 	size float64
 	rate fleet.Rate
 }
 
-// slopes measures how the cost of a host grows with changes, with instances
-// and with hosts.
+// slopes measures how the cost of a host grows with the number of changes, of
+// instances and of hosts.
 func (d *distribution) slopes() error {
 	byChanges, err := d.costsByChanges()
 	if err != nil {
@@ -74,7 +74,8 @@
 	return costs, nil
 }
 
-// costsByHosts starts smaller fleets of their own, with today's instances.
+// costsByHosts closes the fleet and starts a new one for each number of hosts,
+// with the current number of instances.
 func (d *distribution) costsByHosts() ([]cost, error) {
 	d.fleet.Close()
 	var costs []cost
@@ -103,8 +104,8 @@
 	return cost{size: float64(n), rate: rate}, err
 }
 
-// emitSlopes prints how a host's mean cost grows with one change a day, one
-// instance or one host more.
+// emitSlopes emits how the mean cost of a host grows with one more change per
+// day, instance or host.
 func (d *distribution) emitSlopes(name string, costs []cost) error {
 	for _, one := range []struct {
 		name, unit string
--- a/bench/document/document_test.go
+++ b/bench/document/document_test.go
@@ -23,7 +23,8 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-// startHosts returns the actual addresses of those that the pages print.
+// startHosts starts a control host and an entry host, and returns their addresses
+// by the addresses that the pages use.
 func startHosts(t *testing.T, rules string) map[string]string {
 	control := local.StartControl(t, nil)
 	client := wire.NewRulesProtobufClient("http://"+control, http.DefaultClient)
@@ -32,7 +33,7 @@
 		return err == nil && response.GetAccepted()
 	})
 	entry := local.StartEntry(t, control, nil)
-	local.Eventually(t, "the entry host is in the address answers", func() bool {
+	local.Eventually(t, "the entry host is in the address responses", func() bool {
 		response, err := http.Get("http://" + entry.Platform + "/v1/addresses/catalogue")
 		if err != nil {
 			return false
@@ -43,7 +44,7 @@
 	return map[string]string{"127.0.0.1:7200": entry.Callers, "127.0.0.1:7201": entry.Platform}
 }
 
-// startInstance runs a stand-in that announces itself, and returns its address.
+// startInstance runs and announces a test instance, and returns its address.
 func startInstance(t *testing.T, service, platform string) string {
 	server := upstream.New(upstream.Config{ID: service + "-1", Service: service, Slots: 3, ServiceTime: time.Millisecond, IdempotencyHeader: "Idempotency-Key"})
 	web := httptest.NewServer(server)
@@ -64,33 +65,33 @@
 	return string(text)
 }
 
-func TestTheExamplesOfThePagesHold(t *testing.T) {
+func TestDocumentedExamplesWork(t *testing.T) {
 	addresses := startHosts(t, page(t, "example.rules"))
 	for _, name := range []string{"CALLERS.md", "UPSTREAMS.md"} {
 		examples, err := document.Examples(page(t, name))
 		must.NoError(t, err)
 		must.GreaterEq(t, 4, len(examples), must.Sprint(name))
-		for n, one := range examples {
+		for n, example := range examples {
 			t.Run(fmt.Sprintf("%s-%d", name, n+1), func(t *testing.T) {
 				knownred.Skip(t)
-				holds(t, addresses, one)
+				checkExample(t, addresses, example)
 			})
 		}
 	}
 }
 
-func holds(t *testing.T, addresses map[string]string, one document.Example) {
+func checkExample(t *testing.T, addresses map[string]string, example document.Example) {
 	for _, service := range []string{"catalogue", "checkout"} {
 		addresses["127.0.0.1:9001"] = startInstance(t, service, addresses["127.0.0.1:7201"])
 	}
-	status, body, err := one.Send(http.DefaultClient, addresses)
-	must.NoError(t, err, must.Sprint(one.Line()))
-	must.Eq(t, one.Status(), status, must.Sprintf("%s: %s", one.Line(), body))
-	must.StrContains(t, body, one.Part(), must.Sprint(one.Line()))
+	status, body, err := example.Send(http.DefaultClient, addresses)
+	must.NoError(t, err, must.Sprint(example.Line()))
+	must.Eq(t, example.Status(), status, must.Sprintf("%s: %s", example.Line(), body))
+	must.StrContains(t, body, example.Part(), must.Sprint(example.Line()))
 }
 
-// Every reason of an outcome is explained to callers, with its status.
-func TestCallersKnowEveryReason(t *testing.T) {
+// CALLERS.md lists every reason of an outcome, with its status.
+func TestEveryReasonIsDocumented(t *testing.T) {
 	source, err := os.ReadFile("../../world/outcome/outcome.go")
 	must.NoError(t, err)
 	callers := page(t, "CALLERS.md")
@@ -102,12 +103,12 @@
 	}
 }
 
-func TestAnExampleWithoutAPromiseIsAnError(t *testing.T) {
+func TestExampleWithoutExpectationIsAnError(t *testing.T) {
 	_, err := document.Examples("```sh\ncurl http://x\n# works\n```")
 	must.ErrorContains(t, err, "not an example")
 }
 
-// The example settings are what --print-config prints.
+// The example settings are the output of --print-config.
 func TestExampleSettingsAreTheDefaults(t *testing.T) {
 	for name, defaults := range map[string]any{"entry.toml": entrysettings.Default(), "control.toml": controlsettings.Default()} {
 		var want strings.Builder
@@ -118,8 +119,8 @@
 	}
 }
 
-// Each term of a rules file is in the operators' page.
-func TestEveryTermHasAManual(t *testing.T) {
+// The operators' page on the rules file lists every term.
+func TestEveryTermIsDocumented(t *testing.T) {
 	manual := page(t, "operators/rules-file.md")
 	for _, term := range rule.Terms() {
 		must.StrContains(t, manual, "| `"+term)
--- a/bench/document/example.go
+++ b/bench/document/example.go
@@ -1,13 +1,15 @@
-// Package document runs the curl examples of a page against real hosts, so
-// that what the page promises stays true.
+// Package document runs the curl examples of a page against real hosts, so that
+// the documentation is tested.
 //
 // An example is a line of a fenced block of kind "sh" that begins with curl;
-// the comment below it gives the status and a part of the body.
+// the comment on the next line gives the expected status and a part of the
+// expected body.
 //
 // Usage:
 //
-//	for _, one := range document.Examples(page) {
-//		answer, err := one.Send(client, addresses)
+//	examples, err := document.Examples(page)
+//	for _, example := range examples {
+//		status, body, err := example.Send(client, addresses)
 //	}
 package document
 
@@ -22,7 +24,7 @@
 	"github.com/pkg/errors"
 )
 
-// Example is one curl command with the answer that its page promises.
+// Example is a curl command with its expected response.
 type Example struct {
 	line   string
 	method string
@@ -36,19 +38,19 @@
 // Line returns the command.
 func (e Example) Line() string { return e.line }
 
-// Status returns the promised status.
+// Status returns the expected status.
 func (e Example) Status() int { return e.status }
 
-// Part returns a promised part of the body.
+// Part returns a part of the expected body.
 func (e Example) Part() string { return e.part }
 
 var (
 	block    = regexp.MustCompile("(?s)```sh\n(.*?)```")
-	promised = regexp.MustCompile(`^# (\d{3}) "(.*)"$`)
-	word     = regexp.MustCompile(`"[^"]*"|'[^']*'|[^\s"']+`)
+	expected = regexp.MustCompile(`^# (\d{3}) "(.*)"$`)
+	argument = regexp.MustCompile(`"[^"]*"|'[^']*'|[^\s"']+`)
 )
 
-// Examples returns the examples of a page in their order.
+// Examples returns the examples of a page, in page order.
 func Examples(page string) ([]Example, error) {
 	var all []Example
 	for _, found := range block.FindAllStringSubmatch(page, -1) {
@@ -64,37 +66,37 @@
 	return all, nil
 }
 
-func parse(line, promise string) (Example, error) {
+func parse(line, expectation string) (Example, error) {
 	e := Example{line: line, header: http.Header{}, method: http.MethodGet}
-	match := promised.FindStringSubmatch(promise)
+	match := expected.FindStringSubmatch(expectation)
 	if match == nil || !strings.HasPrefix(line, "curl ") {
 		return e, errors.Errorf("not an example: %s", line)
 	}
 	status, err := strconv.Atoi(match[1])
 	if err != nil {
-		return e, errors.Wrap(err, "read status")
+		return e, errors.Wrap(err, "parse status")
 	}
 	e.status, e.part = status, match[2]
-	return e, e.arguments(word.FindAllString(line, -1)[1:])
+	return e, e.arguments(argument.FindAllString(line, -1)[1:])
 }
 
-// arguments reads those arguments of curl that the pages use.
-func (e *Example) arguments(words []string) error {
-	for n := 0; n < len(words); n++ {
-		switch arg := unquote(words[n]); arg {
+// arguments parses the curl options that the pages use.
+func (e *Example) arguments(args []string) error {
+	for n := 0; n < len(args); n++ {
+		switch arg := unquote(args[n]); arg {
 		case "-s", "--path-as-is":
 		case "-X", "-H", "-d":
 			n++
-			if n == len(words) {
+			if n == len(args) {
 				return errors.Errorf("%s has no value: %s", arg, e.line)
 			}
-			e.option(arg, unquote(words[n]))
+			e.option(arg, unquote(args[n]))
 		default:
 			e.url = arg
 		}
 	}
 	if e.url == "" {
-		return errors.Errorf("there is no URL: %s", e.line)
+		return errors.Errorf("no URL: %s", e.line)
 	}
 	return nil
 }
@@ -119,22 +121,22 @@
 }
 
 // Send sends the request, with the addresses of the page replaced, and returns
-// the status and body of the answer.
+// the status and body of the response.
 func (e Example) Send(client *http.Client, addresses map[string]string) (int, string, error) {
 	target, err := url.Parse(e.url)
 	if err != nil {
-		return 0, "", errors.Wrap(err, "read URL")
+		return 0, "", errors.Wrap(err, "parse URL")
 	}
 	if actual, ok := addresses[target.Host]; ok {
 		target.Host = actual
 	}
 	body := e.body
-	for printed, actual := range addresses {
-		body = strings.ReplaceAll(body, printed, actual)
+	for documented, actual := range addresses {
+		body = strings.ReplaceAll(body, documented, actual)
 	}
 	req, err := http.NewRequest(e.method, target.String(), strings.NewReader(body))
 	if err != nil {
-		return 0, "", errors.Wrap(err, "make request")
+		return 0, "", errors.Wrap(err, "create request")
 	}
 	req.Header = e.header.Clone()
 	if host := req.Header.Get("Host"); host != "" {
@@ -142,9 +144,9 @@
 	}
 	response, err := client.Do(req)
 	if err != nil {
-		return 0, "", errors.Wrap(err, "send")
+		return 0, "", errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return response.StatusCode, string(text), errors.Wrap(err, "read answer")
+	return response.StatusCode, string(text), errors.Wrap(err, "read response")
 }
--- a/bench/knownred/main.go
+++ b/bench/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred runs each test that KNOWN-RED.txt lists, and says which are
-// still red and which pass again and must leave the list.
+// Command knownred runs each test that KNOWN-RED.txt lists, and prints which still
+// fail and which pass again and must be removed from the list.
 package main
 
 import (
@@ -23,7 +23,7 @@
 func run() error {
 	folder, err := os.Getwd()
 	if err != nil {
-		return errors.Wrap(err, "find the repository")
+		return errors.Wrap(err, "get working directory")
 	}
 	root, all, err := knownred.Load(folder)
 	if err != nil {
@@ -39,14 +39,15 @@
 	return nil
 }
 
-// verdict runs the whole test that a listed subtest belongs to, since subtests
-// may build on those before them.
+// verdict runs the top-level test of a listed subtest, because subtests may depend
+// on earlier ones.
 func verdict(root string, entry knownred.Entry) string {
 	top, _, _ := strings.Cut(entry.Test(), "/")
 	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "^"+top+"$", "./"+filepath.ToSlash(entry.Folder()))
 	cmd.Dir = root
 	cmd.Env = append(os.Environ(), knownred.EnvVar+"=1")
-	// A failing test is what is looked for; other failures show in the output.
+	// A failing test is the expected result, and the output tells it from other
+	// failures.
 	out, _ := cmd.CombinedOutput()
 	switch {
 	case strings.Contains(string(out), "--- FAIL: "+entry.Test()+" "):
--- a/bench/local/door_test.go
+++ b/bench/local/access_test.go
@@ -21,7 +21,7 @@
 
 const rules = "service a: owner O # w: y\nroute a: deadline 5s, maxBody 1KB # w: y"
 
-// submit puts the rules in force through a control host.
+// submit submits the rules to a control host until they are accepted.
 func submit(t *testing.T, control string, client *http.Client) {
 	service := wire.NewRulesProtobufClient("http://"+control, client)
 	local.Eventually(t, "the rules are accepted", func() bool {
@@ -36,8 +36,9 @@
 	return path
 }
 
-// opened reports whether a call got past the door.
-func opened(err error) bool {
+// authenticated reports whether the key of a call was accepted: the call
+// succeeded, or failed with another code than unauthenticated.
+func authenticated(err error) bool {
 	var t twirp.Error
 	if err == nil {
 		return true
@@ -51,8 +52,9 @@
 	return ok
 }
 
-// Each door opens to its own keys, the old and the new one, and to no other.
-func TestEachDoorHasItsOwnKeys(t *testing.T) {
+// Each endpoint accepts both keys of its own key file, so that a key can be
+// rotated, and rejects all other keys.
+func TestEachEndpointAcceptsOnlyItsKeys(t *testing.T) {
 	files := local.Settings{"keys.peers": keyFile(t, "p2 p1"), "keys.operators": keyFile(t, "o2 o1")}
 	control := local.StartControl(t, files)
 	files["keys.upstreams"] = keyFile(t, "u2 u1")
@@ -60,8 +62,8 @@
 	client := func(k string) *http.Client { return key.New(k).Client(http.DefaultClient) }
 	submit(t, control, client("o1"))
 
-	doors := map[string]struct {
-		keys string // those that open it begin with this letter
+	endpoints := map[string]struct {
+		keys string // the first letter of the accepted keys
 		call func(ctx context.Context, c *http.Client) error
 	}{
 		"submit": {"o", func(ctx context.Context, c *http.Client) error {
@@ -100,15 +102,16 @@
 			return announce(ctx, c, entry.Platform, "127.0.0.1:9")
 		}},
 	}
-	for name, door := range doors {
+	for name, endpoint := range endpoints {
 		for _, k := range []string{"p1", "p2", "o1", "o2", "u1", "u2", "other", ""} {
-			want := strings.HasPrefix(k, door.keys) && k != "other"
-			must.Eq(t, want, opened(door.call(t.Context(), client(k))), must.Sprintf("%s with key %q", name, k))
+			want := strings.HasPrefix(k, endpoint.keys) && k != "other"
+			must.Eq(t, want, authenticated(endpoint.call(t.Context(), client(k))), must.Sprintf("%s with key %q", name, k))
 		}
 	}
 }
 
-// announce fails with Twirp's error for a closed door.
+// announce announces an instance. It returns an unauthenticated Twirp error if the
+// key is rejected, as calls of the other endpoints do.
 func announce(ctx context.Context, c *http.Client, platform, address string) error {
 	body := fmt.Sprintf(`{"service":"a","address":%q,"incarnation":1}`, address)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+platform+"/v1/instances/a-1", strings.NewReader(body))
@@ -126,14 +129,15 @@
 	return nil
 }
 
-// What callers may send wrong is refused with a status, and the host serves on.
+// Invalid requests are rejected with their own status, and the host continues to
+// serve. Hop-by-hop headers are not forwarded to the instance.
 func TestBadRequestsOfCallers(t *testing.T) {
 	control := local.StartControl(t, nil)
 	submit(t, control, http.DefaultClient)
 	entry := local.StartEntry(t, control, local.Settings{"limits.headerBytes": "8192"})
 	local.Ready(t, entry)
-	seen := make(chan *http.Request, 1)
-	instance := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { seen <- r }))
+	received := make(chan *http.Request, 1)
+	instance := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { received <- r }))
 	defer instance.Close()
 	must.NoError(t, announce(t.Context(), http.DefaultClient, entry.Platform, instance.Listener.Addr().String()))
 
@@ -154,14 +158,14 @@
 		must.Eq(t, c.status, raw(t, entry.Callers, c.request), must.Sprint(c.name))
 	}
 	must.Eq(t, http.StatusOK, raw(t, entry.Callers, "GET / HTTP/1.1\r\nHost: a\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nTe: trailers\r\nX-Kept: 1\r\n\r\n"))
-	passed := (<-seen).Header
-	must.Eq(t, "1", passed.Get("X-Kept"))
+	forwarded := (<-received).Header
+	must.Eq(t, "1", forwarded.Get("X-Kept"))
 	for _, hop := range []string{"X-Hop", "Keep-Alive", "Te", "Connection"} {
-		must.Eq(t, "", passed.Get(hop), must.Sprint(hop))
+		must.Eq(t, "", forwarded.Get(hop), must.Sprint(hop))
 	}
 }
 
-// raw sends bytes and returns the status of the first answer.
+// raw sends bytes and returns the status of the first response.
 func raw(t *testing.T, address, request string) int {
 	conn, err := net.Dial("tcp", address)
 	must.NoError(t, err)
--- a/bench/local/local.go
+++ b/bench/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs hosts of the system inside a test's own process, on free
-// loopback ports.
+// Package local runs control and entry hosts inside the process of a test, on
+// free loopback ports.
 //
 // Usage:
 //
@@ -26,13 +26,13 @@
 	"go.uber.org/fx"
 )
 
-// Times to wait.
+// Limits of waits.
 const (
 	startLimit = 20 * time.Second
 	poll       = 20 * time.Millisecond
 )
 
-// Settings are values of dotted keys that differ from the defaults.
+// Settings are values that override the defaults, by dotted key.
 type Settings map[string]string
 
 func (s Settings) overrides() []setting.Override {
@@ -50,14 +50,15 @@
 	return s
 }
 
-// Entry is an entry host with its addresses.
+// Entry is the addresses of an entry host.
 type Entry struct {
 	Callers  string
 	Platform string
 	Peers    string
 }
 
-// StartControl runs a control group of one host and returns its address.
+// StartControl runs a control group of one host until the test ends, and returns
+// its address.
 func StartControl(t testing.TB, more Settings) string {
 	address := free(t)
 	cfg, findings := controlsettings.Load("", Settings{
@@ -69,7 +70,7 @@
 	return address
 }
 
-// StartEntry runs an entry host of a control host.
+// StartEntry runs an entry host with a control host until the test ends.
 func StartEntry(t testing.TB, control string, more Settings) Entry {
 	e := Entry{Callers: free(t), Platform: free(t), Peers: free(t)}
 	cfg, findings := entrysettings.Load("", Settings{
@@ -87,13 +88,13 @@
 	}
 }
 
-// run starts an application for the time of the test.
+// run starts an application and stops it when the test ends.
 func run(t testing.TB, app *fx.App) {
 	if err := app.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		// The test does not wait for a graceful stop.
+		// The timeout is short, because a test need not wait for a graceful stop.
 		ctx, cancel := context.WithTimeout(context.Background(), poll)
 		defer cancel()
 		_ = app.Stop(ctx)
@@ -108,17 +109,18 @@
 	return address
 }
 
-// Eventually waits until a condition holds.
+// Eventually waits until a condition holds, and fails the test if it does not
+// within startLimit.
 func Eventually(t testing.TB, what string, holds func() bool) {
 	for deadline := time.Now().Add(startLimit); time.Now().Before(deadline); time.Sleep(poll) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("not within %s: %s", startLimit, what)
+	t.Fatalf("condition not met within %s: %s", startLimit, what)
 }
 
-// Ready waits until an entry host takes callers.
+// Ready waits until an entry host reports that it is ready for callers.
 func Ready(t testing.TB, e Entry) {
 	Eventually(t, "the entry host is ready", func() bool {
 		response, err := http.Get("http://" + e.Platform + "/readyz")
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,4 +1,4 @@
-// Command bench measures snipebeam and prints one JSON line a figure.
+// Command bench measures snipebeam and prints each figure as a line of JSON.
 package main
 
 import (
@@ -14,21 +14,21 @@
 // area measures one part of the system.
 type area func(emit func(figure.Figure)) error
 
-// part is one measurement of an area, with a name if it can be run alone.
+// part is one measurement of an area; it has a name if it can be run alone.
 type part struct {
 	name    string
 	measure area
 }
 
-// areas are what can be measured; each file of this package adds its own with
+// areas are the parts of each area; each file of this package adds its own with
 // register or registerPart.
 var areas = map[string][]part{}
 
 func register(name string, measure area) { registerPart(name, "", measure) }
 
-// registerPart adds a measurement that AREA/PART runs alone.
-func registerPart(name, one string, measure area) {
-	areas[name] = append(areas[name], part{name: one, measure: measure})
+// registerPart adds a measurement that --only=AREA/PART runs alone.
+func registerPart(name, partName string, measure area) {
+	areas[name] = append(areas[name], part{name: partName, measure: measure})
 }
 
 type flags struct {
@@ -38,7 +38,7 @@
 func main() {
 	var cli flags
 	kong.Parse(&cli, kong.Name("bench"))
-	only, one, _ := strings.Cut(cli.Only, "/")
+	only, partName, _ := strings.Cut(cli.Only, "/")
 	names := make([]string, 0, len(areas))
 	for name := range areas {
 		if only == "" || only == name {
@@ -47,7 +47,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		measureArea(name, one)
+		measureArea(name, partName)
 	}
 }
 
--- a/bench/membershipslopes.go
+++ b/bench/membershipslopes.go
@@ -10,7 +10,7 @@
 
 func init() { registerPart("control", "membership", measureMembership) }
 
-// membershipSize is one group in virtual time.
+// membershipSize is the size of a simulated group.
 type membershipSize struct {
 	hosts     int
 	instances int
@@ -21,15 +21,16 @@
 const (
 	membershipSeed   = 20261204
 	membershipSettle = 10 * time.Second
-	// instanceSettle is what one more instance takes to be passed on once.
+	// instanceSettle is the time that disseminating one more instance once takes.
 	instanceSettle   = 50 * time.Millisecond
 	membershipSpan   = 10 * time.Second
 	membershipDrains = 10
 	membershipLoss   = 0.01
 )
 
-// measureMembership gives the bytes of the membership protocol and the delay of
-// a drain for groups that one machine cannot run as processes.
+// measureMembership measures the bytes of the membership protocol and the
+// propagation delay of a drain, in virtual time, for groups that one machine
+// cannot run as processes.
 func measureMembership(emit func(figure.Figure)) error {
 	for _, size := range membershipSizes {
 		g := membership.New(size.hosts, size.instances, membershipSeed)
--- a/bench/route.go
+++ b/bench/route.go
@@ -30,13 +30,13 @@
 	register(routeArea, measureChoosing)
 }
 
-// percent names a load in a figure's name.
+// percent returns the part of a figure's name that gives its load.
 func percent(load float64) string { return fmt.Sprintf("At%d", int(load*100+0.5)) }
 
 func adaptive() route.Policy { return route.NewAdaptive() }
 
-// withPolicy returns the scenario under a policy: the adaptive one on one
-// active host with spares, the others spread over all hosts.
+// withPolicy returns the scenario with a policy: the adaptive one with one active
+// host and spares, the others spread over all hosts.
 func withPolicy(s virtual.Scenario, name string) virtual.Scenario {
 	if name == contract.PolicyAdaptive {
 		s.Policy, s.Active, s.Spread = adaptive, 1, 3
@@ -54,7 +54,7 @@
 	result   *virtual.Result
 }
 
-// tasks runs scenarios side by side; each result depends on its seeds only.
+// tasks runs scenarios in parallel; each result depends only on its seeds.
 type tasks struct{ all []*task }
 
 func (t *tasks) add(s virtual.Scenario, seeds int, run func(virtual.Scenario) *virtual.Result) *task {
@@ -89,8 +89,8 @@
 	}
 }
 
-// loads are the loads that are measured, with the bound of the ratio of p99 to
-// the central queue's.
+// loads are the measured loads, each with the bound of the ratio of p99 to that
+// of a central queue.
 var loads = []struct {
 	load  float64
 	bound float64 // 0 for none
@@ -104,8 +104,7 @@
 	return figure.AtMost(routeArea, name, value, unit, bound)
 }
 
-// measureLoads compares every policy with the central queue on the same
-// arrivals.
+// measureLoads compares every policy with a central queue on the same arrivals.
 func measureLoads(emit func(figure.Figure)) error {
 	var t tasks
 	central := map[float64]*task{}
@@ -130,17 +129,17 @@
 			}
 			emitRatios(emit, prefix, percent(l.load), byPolicy[name][l.load].result, best, bound)
 		}
-		adaptive, two := byPolicy[contract.PolicyAdaptive][l.load].result, byPolicy[contract.PolicyPowerOfTwo][l.load].result
+		adaptive, powerOfTwo := byPolicy[contract.PolicyAdaptive][l.load].result, byPolicy[contract.PolicyPowerOfTwo][l.load].result
 		bound := 0.0
 		if l.load == 0.85 {
 			bound = 0.5
 		}
-		emit(boundedTo("p99RatioToPowerOfTwo"+percent(l.load), adaptive.P(0.99)/two.P(0.99), "ratio", bound))
+		emit(boundedTo("p99RatioToPowerOfTwo"+percent(l.load), adaptive.P(0.99)/powerOfTwo.P(0.99), "ratio", bound))
 	}
 	return nil
 }
 
-// emitRatios emits p99 and p999 over the central queue's.
+// emitRatios emits the ratios of p99 and p999 to those of the central queue.
 func emitRatios(emit func(figure.Figure), prefix, suffix string, r, central *virtual.Result, bound float64) {
 	note := func(q float64) string {
 		return fmt.Sprintf("%.1f ms against %.1f ms", r.P(q), central.P(q))
--- a/bench/route_choose.go
+++ b/bench/route_choose.go
@@ -12,7 +12,8 @@
 	"github.com/snipebeam/snipebeam/world/instance"
 )
 
-// measureChoosing times one choice, with the candidates recorded.
+// measureChoosing measures the time and allocations of one choice that records
+// its candidates.
 func measureChoosing(emit func(figure.Figure)) error {
 	for _, name := range contract.PolicyNames() {
 		prefix := name + "."
@@ -44,7 +45,7 @@
 	random, trace, now := route.NewRandom(rand.Uint64), &route.Trace{}, time.Now().UnixNano()
 	router := route.NewRouter(views, policy)
 	for range n {
-		// Learn something of the instances first.
+		// The policy needs a load report of each instance before the measurement.
 		if ticket, _, err := router.Offer(q, func(*route.Ticket, error) {}); err == nil && ticket != nil {
 			ticket.Finish(route.Report{Latency: 5 * time.Millisecond, HasReportedLoad: true, ReportedLoad: 1})
 		}
--- a/bench/route_deployment.go
+++ b/bench/route_deployment.go
@@ -10,13 +10,13 @@
 	"github.com/snipebeam/snipebeam/world/contract"
 )
 
-// deployment is one user's zones and services.
+// deployment is the zones and services of one user.
 type deployment struct {
 	name      string
-	sameZone  time.Duration // one way between hosts of a zone
-	otherZone time.Duration // one way between zones
+	sameZone  time.Duration // one-way latency within a zone
+	otherZone time.Duration // one-way latency between zones
 	instances []int         // sizes of services
-	zoneCost  time.Duration // to another zone and back
+	zoneCost  time.Duration // round trip to another zone
 }
 
 var deployments = []deployment{
@@ -32,14 +32,14 @@
 
 // deploymentRun is one service at one load.
 type deploymentRun struct {
-	suffix  string
-	bound   float64
-	central *task
-	policy  *task
-	two     *task
+	suffix     string
+	bound      float64
+	central    *task
+	policy     *task
+	powerOfTwo *task
 }
 
-// measureDeployments measures both users' zones and sizes of services.
+// measureDeployments measures the deployments at several loads.
 func measureDeployments(emit func(figure.Figure)) error {
 	var t tasks
 	var runs []deploymentRun
@@ -48,12 +48,12 @@
 			for _, l := range loads[1:] {
 				s := d.scenario(n)
 				s.Load = l.load
-				ours := withPolicy(s, contract.PolicyAdaptive)
-				ours.Policy = d.adaptive
+				adaptive := withPolicy(s, contract.PolicyAdaptive)
+				adaptive.Policy = d.adaptive
 				runs = append(runs, deploymentRun{
 					suffix: percent(l.load) + "." + d.name + strconv.Itoa(n), bound: l.bound,
-					central: t.add(s, routeSeeds, virtual.Central), policy: t.add(ours, routeSeeds, virtual.Run),
-					two: t.add(withPolicy(s, contract.PolicyPowerOfTwo), routeSeeds, virtual.Run),
+					central: t.add(s, routeSeeds, virtual.Central), policy: t.add(adaptive, routeSeeds, virtual.Run),
+					powerOfTwo: t.add(withPolicy(s, contract.PolicyPowerOfTwo), routeSeeds, virtual.Run),
 				})
 			}
 		}
@@ -61,13 +61,13 @@
 	t.run()
 	for _, r := range runs {
 		emitRatios(emit, "p", r.suffix, r.policy.result, r.central.result, r.bound)
-		emit(figure.Plain(routeArea, "p99RatioToPowerOfTwo"+r.suffix, r.policy.result.P(0.99)/r.two.result.P(0.99), "ratio"))
+		emit(figure.Plain(routeArea, "p99RatioToPowerOfTwo"+r.suffix, r.policy.result.P(0.99)/r.powerOfTwo.result.P(0.99), "ratio"))
 	}
 	return nil
 }
 
-// measureConcentration shows what the number of hosts that serve a service
-// does, with the adaptive policy and with the least own count.
+// measureConcentration measures the effect of the number of hosts that serve a
+// service, with the adaptive policy and with the least local in-flight count.
 func measureConcentration(emit func(figure.Figure)) error {
 	var t tasks
 	type run struct {
--- a/bench/route_fault.go
+++ b/bench/route_fault.go
@@ -13,7 +13,7 @@
 	faultAt        = 3 * time.Second
 	faultDuration  = 10 * time.Second
 	faultSeeds     = 8
-	faultWarmup    = faultAt - 50*time.Millisecond // what is in flight at the fault counts
+	faultWarmup    = faultAt - 50*time.Millisecond // includes the requests in flight at the fault
 	faultTarget    = 2
 	faultLoad      = 0.7
 	slowFactor     = 10
@@ -22,7 +22,8 @@
 	faultDeadline  = 300 * time.Millisecond
 )
 
-// faultCase is one fault at 70% load; figures count from the fault on.
+// faultCase is one fault at 70% load; its figures count from just before the
+// fault.
 type faultCase struct {
 	name  string
 	fault virtual.Fault
@@ -53,11 +54,11 @@
 	return s
 }
 
-// measureFaults measures what each fault costs.
+// measureFaults measures the effect of each fault on tail latency and loss.
 func measureFaults(emit func(figure.Figure)) error {
 	policies := []string{contract.PolicyAdaptive, contract.PolicyPowerOfTwo, contract.PolicyLeast, contract.PolicyPeakEWMA}
 	var t tasks
-	calm := t.add(withPolicy(virtual.Scenario{Load: faultLoad, Duration: faultDuration, Warmup: faultWarmup, Deadline: faultDeadline}, contract.PolicyAdaptive), faultSeeds, virtual.Run)
+	baseline := t.add(withPolicy(virtual.Scenario{Load: faultLoad, Duration: faultDuration, Warmup: faultWarmup, Deadline: faultDeadline}, contract.PolicyAdaptive), faultSeeds, virtual.Run)
 	runs := map[string]map[string]*task{}
 	for _, c := range faultCases {
 		runs[c.name] = map[string]*task{}
@@ -68,18 +69,18 @@
 	t.run()
 	for _, c := range faultCases {
 		for _, policy := range policies {
-			emitFault(emit, c, policy, runs[c.name][policy].result, calm.result)
+			emitFault(emit, c, policy, runs[c.name][policy].result, baseline.result)
 		}
 	}
 	return nil
 }
 
-func emitFault(emit func(figure.Figure), c faultCase, policy string, r, calm *virtual.Result) {
+func emitFault(emit func(figure.Figure), c faultCase, policy string, r, baseline *virtual.Result) {
 	prefix := ""
 	if policy != contract.PolicyAdaptive {
 		prefix = policy + "."
 	}
-	emit(figure.Plain(routeArea, prefix+c.name+"P99RatioToCalm", r.P(0.99)/calm.P(0.99), "ratio"))
+	emit(figure.Plain(routeArea, prefix+c.name+"P99RatioToCalm", r.P(0.99)/baseline.P(0.99), "ratio"))
 	loss := float64(r.Failed) / float64(r.Offered)
 	lossBound, noticeBound := 0.0, 0.0
 	if policy == contract.PolicyAdaptive && c.fault.Kind == virtual.FailFast {
@@ -95,7 +96,8 @@
 	emit(boundedTo(prefix+"slowInstanceNoticeMs", r.NoticeMs(faultTarget, faultAt), "ms", noticeBound))
 }
 
-// measureOverload offers twice the capacity.
+// measureOverload measures goodput at twice the capacity, and tail latency under
+// bursts.
 func measureOverload(emit func(figure.Figure)) error {
 	var t tasks
 	deadlines := []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second}
@@ -110,7 +112,7 @@
 	burst := virtual.Scenario{Load: 0.7, Burst: 0.4, Duration: routeDuration}
 	central := t.add(burst, routeSeeds, virtual.Central)
 	bursts := t.add(withPolicy(burst, contract.PolicyAdaptive), routeSeeds, virtual.Run)
-	two := t.add(withPolicy(burst, contract.PolicyPowerOfTwo), routeSeeds, virtual.Run)
+	powerOfTwo := t.add(withPolicy(burst, contract.PolicyPowerOfTwo), routeSeeds, virtual.Run)
 	t.run()
 	for _, deadline := range deadlines {
 		suffix := ".deadline" + deadline.String()
@@ -118,6 +120,6 @@
 		emit(figure.Plain(routeArea, "powerOfTwo.goodputAt2xOverload"+suffix, runs[deadline][contract.PolicyPowerOfTwo].result.Goodput(), "share of capacity"))
 	}
 	emitRatios(emit, "p", ".bursts", bursts.result, central.result, 0)
-	emitRatios(emit, "powerOfTwoP", ".bursts", two.result, central.result, 0)
+	emitRatios(emit, "powerOfTwoP", ".bursts", powerOfTwo.result, central.result, 0)
 	return nil
 }
--- a/bench/route_probe.go
+++ b/bench/route_probe.go
@@ -8,12 +8,12 @@
 	"github.com/snipebeam/snipebeam/bench/route/virtual"
 )
 
-// probeDuration is a whole window of the budget, so that the share of a run is
-// the share of a window.
+// probeDuration covers a full window of the probe budget, so that the share of a
+// run is that of a window.
 const probeDuration = 61 * time.Second
 
-// measureProbes measures what probes cost and what tail they save, on the
-// zones of Attica, where a probe takes 6 ms.
+// measureProbes measures the cost of probes and their effect on tail latency in
+// the attica deployment, where a probe takes 6 ms.
 func measureProbes(emit func(figure.Figure)) error {
 	attica := deployments[1]
 	cases := []struct {
--- a/bench/rules.go
+++ b/bench/rules.go
@@ -13,26 +13,26 @@
 
 const (
 	rulesArea = "rules"
-	// twoYearServices and rulesPerService give a file of the size wanted in two
-	// years.
+	// twoYearServices and rulesPerService give a file of the size that is expected
+	// in two years.
 	twoYearServices = 140
 	rulesPerService = 20
 	parseRounds     = 20
 	matchRounds     = 200_000
-	// changesPerDay and controlShare are the users' bounds on changes and on
-	// what control may cost a node.
+	// changesPerDay and controlShareBound are the users' targets for changes and for
+	// the share of a core that control may use on a host.
 	changesPerDay     = 14_000
 	controlShareBound = 0.015
 )
 
 func init() { register(rulesArea, measureRules) }
 
-// measureRules gives the time to check, to read and to match rules.
+// measureRules measures the time to check, to read and to match rules.
 func measureRules(emit func(figure.Figure)) error {
 	text := twoYearRules()
 	set, findings := rule.Parse("rules", text)
 	if err := findings.Err(); err != nil {
-		return errors.Wrap(err, "generated rules")
+		return errors.Wrap(err, "parse generated rules")
 	}
 	emit(figure.Plain(rulesArea, "fileBytes", float64(len(text)), "bytes"))
 	emit(figure.AtMost(rulesArea, "checkMs", milliseconds(meanDuration(parseRounds, func() { rule.Parse("rules", text) })), "ms", 1000))
--- a/bench/scrape.go
+++ b/bench/scrape.go
@@ -43,19 +43,19 @@
 }
 
 func exporterOf(size fleetSize) *prometheus.Exporter {
-	book := backlog.NewTracker()
+	tracker := backlog.NewTracker()
 	for s := range size.services {
-		book.Track(serviceName(s), time.Now())
+		tracker.Track(serviceName(s), time.Now())
 	}
 	return prometheus.New(prometheus.Config{
-		Table: rules.NewTable(), Views: viewsOf(size), Backlog: book,
+		Table: rules.NewTable(), Views: viewsOf(size), Backlog: tracker,
 		Decisions: decision.NewLog(hclog.NewNullLogger()), State: func() string { return "ready" },
 	})
 }
 
 func serviceName(n int) string { return fmt.Sprintf("service-%d", n) }
 
-// viewsOf returns views with the instances spread evenly over the services.
+// viewsOf returns views with the instances evenly distributed over the services.
 func viewsOf(size fleetSize) *route.Views {
 	members := map[string][]route.Member{}
 	for n := range size.instances {
--- a/bench/see.go
+++ b/bench/see.go
@@ -18,7 +18,7 @@
 const (
 	visibleBoundMs = 2000
 	growthCases    = 1000
-	calmSpan       = 4 * time.Hour // behind one instance; less behind many
+	calmSpan       = 4 * time.Hour // for one instance; shorter for more slots
 )
 
 const (
@@ -26,10 +26,10 @@
 	serviceSlots  = 30
 	instanceMean  = 5 * time.Millisecond
 	sigma         = 0.8
-	fullRate      = instanceSlots * float64(time.Second/instanceMean) // requests a second that fill the slots
+	fullRate      = instanceSlots * float64(time.Second/instanceMean) // requests per second that fill the slots
 )
 
-// calmWorkload is one in which no backlog grows.
+// calmWorkload is a workload in which no backlog grows.
 type calmWorkload struct {
 	name string
 	cfg  queue.Config
@@ -44,7 +44,8 @@
 	}}
 }
 
-// mixed has one request in fifty that takes forty times as long.
+// mixed returns a workload in which one request in fifty takes forty times as
+// long.
 func mixed(share float64) calmWorkload {
 	w := steady("mixedLong", share, instanceSlots)
 	w.cfg.Long, w.cfg.LongFactor = 0.02, 40
@@ -55,7 +56,8 @@
 	return w
 }
 
-// bursts of one second at one and a half times the capacity, every ten seconds.
+// bursty returns a workload with bursts of one second at one and a half times the
+// capacity, every ten seconds.
 func bursty() calmWorkload {
 	const burst, period = time.Second, 10 * time.Second
 	w := steady("bursty", 1.5, instanceSlots)
@@ -92,19 +94,19 @@
 func falseAlarms(w calmWorkload, seed uint64) int {
 	q := queue.New(w.cfg, seed)
 	detector := backlog.Detector{}
-	found, was := 0, backlog.Cause("")
+	alarms, previous := 0, backlog.Cause("")
 	for q.Now() < w.span {
 		cause, _ := detector.Observe(q.Sample(backlog.SampleInterval), backlog.Limits{Slots: w.cfg.Slots})
-		if cause != "" && was == "" {
-			found++
+		if cause != "" && previous == "" {
+			alarms++
 		}
-		was = cause
+		previous = cause
 	}
-	return found
+	return alarms
 }
 
-// growth is one generated backlog: from a moment on, the instance serves less
-// than what arrives.
+// growth is a generated backlog: after the warm-up, the instance serves fewer
+// requests than arrive.
 type growth struct {
 	share  float64 // of the capacity that arrives
 	excess float64 // arrivals over capacity after the change, 0.5 is 50% more
@@ -116,7 +118,7 @@
 	suddenExcess = 0.5
 )
 
-// generate draws growths from very slow to sudden.
+// generate draws a growth between very slow and sudden.
 func generate(random *rand.Rand) growth {
 	return growth{
 		share:  0.3 + 0.5*random.Float64(),
