--- a/bench/control.go
+++ b/bench/control.go
@@ -86,10 +86,10 @@
 	group.Wait()
 	lost := tally.violations[schedule.NoLoss] + tally.violations[schedule.SameEntries]
 	doubled := tally.violations[schedule.OneHolder]
-	emit(figure.AtLeast("control", "schedules", float64(tally.runs), "schedules", scheduleCount).With(tally.note()))
+	emit(figure.AtLeast("control", "schedules", float64(tally.runs), "schedules", scheduleCount).WithNote(tally.note()))
 	emit(figure.AtMost("control", "lostAcceptedChanges", float64(lost), "changes", 0))
 	emit(figure.AtMost("control", "revertedVersions", float64(tally.violations[schedule.MonotonicReads]), "versions", 0))
 	emit(figure.AtMost("control", "doubleClaims", float64(doubled), "claims", 0))
-	emit(figure.AtMost("control", "brokenPromises", float64(tally.total()), "violations", 0).With("all promises of the schedules, those above among them"))
+	emit(figure.AtMost("control", "brokenPromises", float64(tally.total()), "violations", 0).WithNote("all promises of the schedules, those above among them"))
 	return nil
 }
--- a/bench/controlclaims.go
+++ b/bench/controlclaims.go
@@ -96,10 +96,10 @@
 	single := loadClaims(g, 1, claimDuration)
 	concurrent := loadClaims(g, claimClients, claimDuration)
 	note := fmt.Sprintf("3 processes on one machine, synced files, %d clients, %d granted, %d failed", claimClients, concurrent.granted, concurrent.failed)
-	emit(figure.Plain("control", "claimsPerSecond", concurrent.perS, "1/s").With(note))
+	emit(figure.Plain("control", "claimsPerSecond", concurrent.perS, "1/s").WithNote(note))
 	emit(figure.Plain("control", "claimP50Ms", concurrent.p50Ms, "ms"))
 	emit(figure.Plain("control", "claimP99Ms", concurrent.p99Ms, "ms"))
-	emit(figure.Plain("control", "claimsPerSecondOneSyncEach", single.perS, "1/s").With("one client: each claim has its syncs for itself"))
+	emit(figure.Plain("control", "claimsPerSecondOneSyncEach", single.perS, "1/s").WithNote("one client: each claim has its syncs for itself"))
 	emit(figure.Plain("control", "claimP99MsOneSyncEach", single.p99Ms, "ms"))
 	emit(figure.AtLeast("control", "claimsPerSecondToOneSyncEach", concurrent.perS/single.perS, "ratio", 1))
 	return nil
--- a/bench/distribution.go
+++ b/bench/distribution.go
@@ -72,11 +72,11 @@
 		return err
 	}
 	note := fmt.Sprintf("%d entry processes, %d instances, %d changes a day, announcements included; largest of the hosts", entryHosts, currentInstances, dayChanges)
-	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", rate.BytesPerSecond, "bytes/s", controlBytesBound).With(note))
-	d.emit(figure.AtMost("control", "controlCorePercentPerHost", rate.CorePercent, "%", controlCoreBoundPercent).With(fmt.Sprintf("%s; the mean is %.2f", note, rate.MeanCorePercent)))
-	d.emit(figure.AtMost("control", "controlResidentMB", rate.ResidentMB, "MB", controlResidentBoundMB).With(note))
-	d.emit(figure.Plain("control", "controlHostCorePercent", rate.ControlCorePercent, "%").With("largest of the control processes"))
-	d.emit(figure.AtMost("control", "controlHostResidentMB", rate.ControlResidentMB, "MB", controlResidentBoundMB).With("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", rate.BytesPerSecond, "bytes/s", controlBytesBound).WithNote(note))
+	d.emit(figure.AtMost("control", "controlCorePercentPerHost", rate.CorePercent, "%", controlCoreBoundPercent).WithNote(fmt.Sprintf("%s; the mean is %.2f", note, rate.MeanCorePercent)))
+	d.emit(figure.AtMost("control", "controlResidentMB", rate.ResidentMB, "MB", controlResidentBoundMB).WithNote(note))
+	d.emit(figure.Plain("control", "controlHostCorePercent", rate.ControlCorePercent, "%").WithNote("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlHostResidentMB", rate.ControlResidentMB, "MB", controlResidentBoundMB).WithNote("largest of the control processes"))
 	return nil
 }
 
@@ -109,7 +109,7 @@
 		}
 	}
 	slices.Sort(took)
-	d.emit(figure.AtMost("control", "drainSeenMs", took[len(took)-1], "ms", drainSeenBoundMs).With(fmt.Sprintf("worst of %d, seen by all %d entry processes; median %.0f", drainTrials, entryHosts, took[len(took)/2])))
+	d.emit(figure.AtMost("control", "drainSeenMs", took[len(took)-1], "ms", drainSeenBoundMs).WithNote(fmt.Sprintf("worst of %d, seen by all %d entry processes; median %.0f", drainTrials, entryHosts, took[len(took)/2])))
 	return nil
 }
 
@@ -171,11 +171,11 @@
 	var took []float64
 	slowest := 0.0
 	for _, one := range accepted {
-		took = append(took, max(0, milliseconds(inForce[one.Version].Sub(one.At))))
+		took = append(took, max(0, milliseconds(inForce[one.Version].Sub(one.AcceptedAt))))
 		slowest = max(slowest, milliseconds(inForce[one.Version].Sub(one.SentAt)))
 	}
 	slices.Sort(took)
 	note = fmt.Sprintf("%s; from the answer until the last of %d entry processes has it, %d changes; worst %.1f, worst from the first send %.1f", note, entryHosts, len(took), took[len(took)-1], slowest)
-	d.emit(figure.AtMost("control", name, took[(len(took)*99-1)/100], "ms", inForceBoundMs).With(note))
+	d.emit(figure.AtMost("control", name, took[(len(took)*99-1)/100], "ms", inForceBoundMs).WithNote(note))
 	return nil
 }
--- a/bench/membershipslopes.go
+++ b/bench/membershipslopes.go
@@ -42,8 +42,8 @@
 			worst = max(worst, g.Drain(n))
 		}
 		name := fmt.Sprintf("Hosts%dInstances%d", size.hosts, size.instances)
-		emit(figure.AtMost("control", "gossipBytesPerSecond"+name, bytes, "bytes/s", controlBytesBound).With("virtual time, sent and received, 1% loss, no changes"))
-		emit(figure.AtMost("control", "gossipDrainSeenMs"+name, milliseconds(worst), "ms", drainSeenBoundMs).With(fmt.Sprintf("virtual time, 1%% loss, worst of %d", membershipDrains)))
+		emit(figure.AtMost("control", "gossipBytesPerSecond"+name, bytes, "bytes/s", controlBytesBound).WithNote("virtual time, sent and received, 1% loss, no changes"))
+		emit(figure.AtMost("control", "gossipDrainSeenMs"+name, milliseconds(worst), "ms", drainSeenBoundMs).WithNote(fmt.Sprintf("virtual time, 1%% loss, worst of %d", membershipDrains)))
 	}
 	return nil
 }
