--- a/bench/callstop.go
+++ b/bench/callstop.go
@@ -30,10 +30,10 @@
 route pay POST: deadline 5s # bench: the same without a claim
 `
 
-// Size of the stops that are measured.
+// Sizes, load and timing of the measured stops.
 const (
 	stopHosts       = 6
-	stopAtOnce      = 2
+	concurrentStops = 2
 	uploadBytes     = 200 << 20
 	uploadParts     = 100
 	uploadPause     = 80 * time.Millisecond
@@ -41,14 +41,15 @@
 	stopRate        = 200
 	stopLoad        = 45 * time.Second
 	stopTail        = time.Second
-	submitTries     = 50
+	submitAttempts  = 50
 	submitPause     = 200 * time.Millisecond
 	announceTime    = 2 * time.Second
-	smallInstances  = 4
-	programsOfBench = "entry control standin"
+	lookupInstances = 4
+	programs        = "entry control standin"
 )
 
-// measureStops stops hosts while an upload and a load are under way.
+// measureStops counts the requests that planned stops interrupt: a host is
+// stopped during an upload, and all hosts are restarted under load.
 func measureStops(emit func(figure.Figure)) error {
 	c, done, err := callCluster(stopHosts)
 	if err != nil {
@@ -58,7 +59,7 @@
 	if _, _, err := c.StartInstance("photos-1", "photos", "a", "--work", "1ms"); err != nil {
 		return err
 	}
-	for n := range smallInstances {
+	for n := range lookupInstances {
 		if _, _, err := c.StartInstance(fmt.Sprint("lookup-", n), "lookup", "a", "--work", "2ms"); err != nil {
 			return err
 		}
@@ -72,29 +73,30 @@
 		})
 	})
 	uploadErr := uploadThroughStop(c)
-	rollErr := rollingRestart(c)
+	restartErr := rollingRestart(c)
 	group.Wait()
-	if rollErr != nil {
-		return rollErr
+	if restartErr != nil {
+		return restartErr
 	}
-	cut := summary.Sent - summary.Outcomes["answer"]
-	note := fmt.Sprintf("one 200 MB upload stopped halfway, %d requests during a restart of %d hosts, %d at a time: %v", summary.Sent, stopHosts, stopAtOnce, summary.Outcomes)
+	interrupted := summary.Sent - summary.Outcomes["answer"]
+	note := fmt.Sprintf("one 200 MB upload stopped halfway, %d requests during a restart of %d hosts, %d at a time: %v", summary.Sent, stopHosts, concurrentStops, summary.Outcomes)
 	if uploadErr != nil {
-		cut++
+		interrupted++
 		note += "; upload: " + uploadErr.Error()
 	}
-	emit(figure.AtMost("call", "cutByPlannedStop", float64(cut), "requests", 0).WithNote(note))
+	emit(figure.AtMost("call", "cutByPlannedStop", float64(interrupted), "requests", 0).WithNote(note))
 	return nil
 }
 
-// callCluster runs real hosts under the rules of this area.
+// callCluster builds the programs and starts a cluster of processes with the
+// rules of this area. The returned function stops it and removes its files.
 func callCluster(entries int) (*cluster.Cluster, func(), error) {
 	dir, err := os.MkdirTemp("", "snipebeam-call-")
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "make folder")
+		return nil, nil, errors.Wrap(err, "create folder")
 	}
 	remove := func() { _ = os.RemoveAll(dir) }
-	for _, program := range bytes.Fields([]byte(programsOfBench)) {
+	for _, program := range bytes.Fields([]byte(programs)) {
 		target := filepath.Join(dir, "snipebeam-"+string(program))
 		if out, err := exec.Command("go", "build", "-o", target, "./"+string(program)).CombinedOutput(); err != nil {
 			remove()
@@ -132,54 +134,55 @@
 
 func submitRules(c *cluster.Cluster) error {
 	req := &wire.SubmitRequest{SubmissionId: "bench", Text: callRules, Author: "bench", Reason: "measure"}
-	var last error
-	for n := range submitTries {
+	var lastErr error
+	for n := range submitAttempts {
 		address := c.Controls[n%len(c.Controls)].Peers
 		response, err := wire.NewRulesProtobufClient("http://"+address, http.DefaultClient).Submit(context.Background(), req)
 		if err == nil && response.GetAccepted() {
 			return nil
 		}
-		last = errors.Errorf("rules not accepted: %v %s", err, response.GetRefusal())
+		lastErr = errors.Errorf("rules not accepted: %v %s", err, response.GetRefusal())
 		time.Sleep(submitPause)
 	}
-	return last
+	return lastErr
 }
 
-// slowUpload gives a body in parts, and stops a host halfway.
+// slowUpload is a request body that is read in parts, and calls a function
+// halfway.
 type slowUpload struct {
-	left   int
-	digest *xxhash.Digest
-	half   func()
-	part   []byte
+	remaining int
+	digest    *xxhash.Digest
+	atHalf    func()
+	part      []byte
 }
 
-// Read gives the next part after a pause.
+// Read returns the next bytes, with a pause before each part.
 func (u *slowUpload) Read(p []byte) (int, error) {
-	if u.left == 0 {
+	if u.remaining == 0 {
 		return 0, io.EOF
 	}
 	const partBytes = uploadBytes / uploadParts
-	if u.left%partBytes == 0 {
+	if u.remaining%partBytes == 0 {
 		time.Sleep(uploadPause)
 	}
-	if u.left == uploadBytes/2 {
-		u.half()
+	if u.remaining == uploadBytes/2 {
+		u.atHalf()
 	}
-	n := min(len(p), u.left, (u.left-1)%partBytes+1)
+	n := min(len(p), u.remaining, (u.remaining-1)%partBytes+1)
 	for k := range n {
-		p[k] = byte(u.left + k)
+		p[k] = byte(u.remaining + k)
 	}
-	u.left -= n
+	u.remaining -= n
 	_, _ = u.digest.Write(p[:n])
 	return n, nil
 }
 
 func uploadThroughStop(c *cluster.Cluster) error {
 	entry := c.Entries[0]
-	upload := &slowUpload{left: uploadBytes, digest: xxhash.New(), half: func() { _ = entry.Signal(syscall.SIGTERM) }}
+	upload := &slowUpload{remaining: uploadBytes, digest: xxhash.New(), atHalf: func() { _ = entry.Signal(syscall.SIGTERM) }}
 	req, err := http.NewRequest(http.MethodPost, "http://"+entry.Callers+"/photos/1", upload)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	req.Host, req.ContentLength = "photos", uploadBytes
 	response, err := http.DefaultClient.Do(req)
@@ -187,40 +190,40 @@
 		return errors.Wrap(err, "upload")
 	}
 	defer func() { _ = response.Body.Close() }()
-	var answer struct {
+	var received struct {
 		BodyBytes  int    `json:"bodyBytes"`
 		BodyDigest string `json:"bodyDigest"`
 	}
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
-		return errors.Wrapf(err, "read answer %s", response.Status)
+	if err := json.NewDecoder(response.Body).Decode(&received); err != nil {
+		return errors.Wrapf(err, "decode response %s", response.Status)
 	}
-	if answer.BodyBytes != uploadBytes || answer.BodyDigest != fmt.Sprintf("%016x", upload.digest.Sum64()) {
-		return errors.Errorf("%d bytes arrived with another digest", answer.BodyBytes)
+	if received.BodyBytes != uploadBytes || received.BodyDigest != fmt.Sprintf("%016x", upload.digest.Sum64()) {
+		return errors.Errorf("upload corrupted: %d bytes received, size or digest differs", received.BodyBytes)
 	}
 	if err := entry.Wait(stopLimit); err != nil {
-		return errors.Wrap(err, "the stopped host")
+		return errors.Wrap(err, "wait for the stopped host")
 	}
 	if err := c.Restart(entry, entry.Name(), "snipebeam-entry"); err != nil {
 		return err
 	}
-	return c.WaitReady() // a program that just started knows no signals yet
+	return c.WaitReady() // a process that has just started does not handle signals yet
 }
 
-// rollingRestart restarts every host gracefully, a few at a time.
+// rollingRestart gracefully restarts every host, concurrentStops at a time.
 func rollingRestart(c *cluster.Cluster) error {
-	for from := 0; from < len(c.Entries); from += stopAtOnce {
-		failed := make(chan error, stopAtOnce)
-		for _, entry := range c.Entries[from : from+stopAtOnce] {
+	for from := 0; from < len(c.Entries); from += concurrentStops {
+		results := make(chan error, concurrentStops)
+		for _, entry := range c.Entries[from : from+concurrentStops] {
 			go func() {
 				err := entry.Terminate(stopLimit)
 				if err == nil {
 					err = c.Restart(entry, entry.Name(), "snipebeam-entry")
 				}
-				failed <- err
+				results <- err
 			}()
 		}
-		for range stopAtOnce {
-			if err := <-failed; err != nil {
+		for range concurrentStops {
+			if err := <-results; err != nil {
 				return err
 			}
 		}
