--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"testing"
 	"time"
 
@@ -63,7 +64,8 @@
 	must.NoError(t, second.Withdraw("i7", 0))
 	eventually(func() bool { return thirdReg.Len() == 599 })
 	must.Len(t, 1, stranger.Entries())
-	must.SliceContains(t, first.Alternates("i1"), "e2:1")
+	// The join may carry a record of e2 without its state; "ready" follows in a later version.
+	eventually(func() bool { return slices.Contains(first.Alternates("i1"), "e2:1") })
 	must.Zero(t, strangerReg.Len())
 }
 
