--- a/entry/control/primary.go
+++ b/entry/control/primary.go
@@ -62,8 +62,7 @@
 }
 
 // electPrimary makes the best control host the primary: a healthy one before
-// others, then one in this zone, then by address. The caller must hold the
-// lock.
+// others, then one in this zone, then by address. w.mu must be held.
 func (w *Watch) electPrimary() {
 	if w.members == nil {
 		return
--- a/entry/control/settle.go
+++ b/entry/control/settle.go
@@ -11,8 +11,8 @@
 
 // Limits and metrics of the settlement of claims.
 const (
-	maxUnsettled        = 4096
-	settleTimeout       = time.Second
+	maxUnsettled        = 4096        // claims that are settled concurrently
+	settleTimeout       = time.Second // of one attempt
 	minSettleBackoff    = 50 * time.Millisecond
 	maxSettleBackoff    = 2 * time.Second
 	settleDeadline      = 10 * time.Minute
@@ -29,9 +29,9 @@
 )
 
 // Settler completes and releases claims in the background, retrying each until
-// a control host acknowledges it. Claims that cannot be settled before the
-// deadline are counted as abandoned; they remain claimed, so that a resent
-// request gets the outcome "unknown".
+// a control host acknowledges it. Claims beyond maxUnsettled, and claims that are
+// not settled within settleDeadline, are counted as abandoned; they remain claimed,
+// so that a resent request gets the outcome "unknown".
 type Settler struct {
 	claims Claimer
 
--- a/entry/control/transport.go
+++ b/entry/control/transport.go
@@ -18,11 +18,11 @@
 // TCP keep-alive probes detect a connection whose network path fails during a
 // long poll, after about two seconds.
 const (
-	dialTimeout       = 300 * time.Millisecond // a host that is powered off does not refuse connections
-	keepAliveIdle     = time.Second
-	keepAliveInterval = 500 * time.Millisecond
-	keepAliveCount    = 2
-	maxIdleConns      = 2
+	dialTimeout         = 300 * time.Millisecond // a host that is powered off does not refuse connections
+	keepAliveIdle       = time.Second
+	keepAliveInterval   = 500 * time.Millisecond
+	keepAliveCount      = 2
+	maxIdleConnsPerHost = 2
 )
 
 // NewTransport returns a transport for the watch that counts bytes and detects
@@ -32,7 +32,7 @@
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	}}
 	return &http.Transport{
-		MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: time.Minute, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
--- a/entry/control/watch.go
+++ b/entry/control/watch.go
@@ -70,7 +70,7 @@
 
 // Membership receives updates of instances and suspects from the control hosts.
 type Membership interface {
-	// Revision returns the revision of the newest instance record applied.
+	// Revision returns the revision up to which instance records have been applied.
 	Revision() uint64
 	// Apply applies instance records, oldest first, up to a revision.
 	Apply(instances []*wire.Instance, revision uint64)
--- a/entry/discovery/discovery.go
+++ b/entry/discovery/discovery.go
@@ -10,7 +10,7 @@
 //
 // Usage:
 //
-//	handler := discovery.New(discovery.Parts{...})
+//	handler := discovery.New(discovery.Config{...})
 //	http.Serve(listener, handler)
 package discovery
 
--- a/entry/dns/dns.go
+++ b/entry/dns/dns.go
@@ -22,11 +22,11 @@
 
 // Directory maps services to the entry hosts that accept their callers.
 type Directory interface {
-	// Ready reports whether this host has rules in force.
+	// Ready reports whether a quorum has confirmed the rules of this host.
 	Ready() bool
 	// Service returns the hosts for a service; known is false if no rule names
 	// the service.
-	Service(name string) (answer placement.Selection, known bool)
+	Service(name string) (hosts placement.Selection, known bool)
 	// Host returns an entry host by its name, or nil if there is none.
 	Host(name string) *wire.HostReport
 }
--- a/entry/host/directory.go
+++ b/entry/host/directory.go
@@ -12,7 +12,7 @@
 // in the current membership.
 type directory struct {
 	zone     string
-	hostRate float64 // requests per second of one service that one entry host takes
+	hostRate float64 // requests per second of one service that one entry host accepts
 	rates    *placement.Rates
 	table    *rules.Table
 	entries  func() []*wire.HostReport
--- a/entry/host/host.go
+++ b/entry/host/host.go
@@ -115,7 +115,7 @@
 
 // membershipRunners returns the functions that run gossip membership: the protocol
 // between entry hosts, and the platform and DNS listeners that depend on it. It
-// returns none if control hosts keep the membership, because the watch then
+// returns none if the control hosts maintain the membership, because the watch then
 // delivers it.
 func membershipRunners(cfg *settings.Settings) []any {
 	if cfg.Peers.Membership == settings.MembershipControl {
--- a/entry/host/prober.go
+++ b/entry/host/prober.go
@@ -19,7 +19,7 @@
 	probesFailed = metrics.GetOrCreateCounter("snipebeam_probes_failed_total")
 )
 
-// probeTimeout is the time after which an unanswered probe counts as failed.
+// probeTimeout is the time after which a probe without a response counts as failed.
 const probeTimeout = 400 * time.Millisecond
 
 // prober requests the load of instances at their health path.
@@ -56,7 +56,7 @@
 	probes.Inc()
 	if err != nil {
 		probesFailed.Inc()
-		p.logger.Debug("instance did not answer", "instance", string(m.Instance().ID()), "error", err)
+		p.logger.Debug("instance did not respond", "instance", string(m.Instance().ID()), "error", err)
 		return route.ProbeReport{}
 	}
 	return report
--- a/entry/host/stop_test.go
+++ b/entry/host/stop_test.go
@@ -17,10 +17,10 @@
 
 // drained drains a host with one request that takes the given time, and returns
 // how long the drain took.
-func drained(ctx context.Context, t *testing.T, longest time.Duration) time.Duration {
+func drained(ctx context.Context, t *testing.T, duration time.Duration) time.Duration {
 	state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
 	request := state.requests.Track("aftercare", time.Now())
-	time.AfterFunc(longest, func() { request.End(false, time.Now()) })
+	time.AfterFunc(duration, func() { request.End(false, time.Now()) })
 	started := time.Now()
 	drain(ctx, state, control.NewSettler(nil), drainHooks{
 		report:        func(context.Context) { time.Sleep(time.Second) }, // unresponsive control hosts
@@ -30,7 +30,7 @@
 	return time.Since(started)
 }
 
-func TestDrainWaitsForTheLastAddressAnswer(t *testing.T) {
+func TestDrainWaitsUntilTheLastAddressResponseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := drained(t.Context(), t, time.Millisecond)
 		must.GreaterEq(t, seconds(settings.Default().Host.LeaveSeconds), took)
@@ -55,7 +55,7 @@
 	must.Eq(t, stopTimeout, stopLimit(settings.Default()))
 }
 
-func TestNoConnectionIsTakenWhileADrainWaitsForWhatIsInFlight(t *testing.T) {
+func TestDrainClosesTheListenerBeforeRequestsInFlightEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := newState(settings.Default(), rules.NewTable(), backlog.NewTracker(), poison.NewTracker())
 		request := state.requests.Track("aftercare", time.Now())
--- a/entry/main.go
+++ b/entry/main.go
@@ -23,7 +23,7 @@
 	var cli flags
 	kong.Parse(&cli, kong.Name(name), kong.Description("An entry host of snipebeam."), kong.Vars{"config": source.Default})
 	cfg, findings := settings.Load(cli.Path(source), program.Overrides(source, settings.Default(), cli.Settings)...)
-	if settled, code := cli.ShouldExit(os.Stdout, os.Stderr, cfg, findings); settled {
+	if exit, code := cli.ShouldExit(os.Stdout, os.Stderr, cfg, findings); exit {
 		os.Exit(code)
 	}
 	logger := logging.New(name, cfg.Log.Level, os.Stderr)
--- a/entry/operator/explain.go
+++ b/entry/operator/explain.go
@@ -43,7 +43,7 @@
 func (s *Service) explainDecision(id string) (*wire.ExplainResponse, error) {
 	d := s.cfg.Decisions.Find(id)
 	if d == nil {
-		return nil, twirp.NotFoundError("decision " + id + " is not in the memory of this host; see its log file")
+		return nil, twirp.NotFoundError("decision " + id + " is not retained by this host; see its log file")
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
--- a/entry/peer/fetch.go
+++ b/entry/peer/fetch.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// check probes, by opening a connection, an instance whose owner has failed.
+// check tests whether an instance whose owner has failed accepts a connection.
 func (n *Node) check(ctx context.Context, i *wire.Instance) {
 	select {
 	case n.checks <- struct{}{}:
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -55,18 +55,18 @@
 	}
 	second, secondReg, _ := start(t, "e2", "old", "new")
 	third, thirdReg, _ := start(t, "e3", "new", "old")
-	stranger, strangerReg, _ := start(t, "e4", "other")
-	for _, node := range []*peer.Node{second, third, stranger} {
+	otherKey, otherKeyReg, _ := start(t, "e4", "other")
+	for _, node := range []*peer.Node{second, third, otherKey} {
 		node.Join([]*wire.GossipHost{seed})
 	}
 	eventually(func() bool { return secondReg.Len() == 600 && thirdReg.Len() == 600 })
 	eventually(func() bool { return len(first.Entries()) == 3 && len(third.Entries()) == 3 })
 	must.NoError(t, second.Withdraw("i7", 0))
 	eventually(func() bool { return thirdReg.Len() == 599 })
-	must.Len(t, 1, stranger.Entries())
+	must.Len(t, 1, otherKey.Entries())
 	// The join may carry a record of e2 without its state; "ready" follows in a later version.
 	eventually(func() bool { return slices.Contains(first.Alternates("i1"), "e2:1") })
-	must.Zero(t, strangerReg.Len())
+	must.Zero(t, otherKeyReg.Len())
 }
 
 func TestNodeRefusesAHostThatDoesNotFit(t *testing.T) {
--- a/entry/prometheus/prometheus.go
+++ b/entry/prometheus/prometheus.go
@@ -27,7 +27,7 @@
 	Views     *route.Views
 	Backlog   *backlog.Tracker
 	Decisions *decision.Log
-	State     func() string // "starting", "ready" or "draining"
+	State     func() string // "starting", "ready", "draining" or "left"
 }
 
 // Exporter writes metrics.
--- a/entry/registry/membership_test.go
+++ b/entry/registry/membership_test.go
@@ -10,7 +10,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-func TestMembershipTakesEachRecordOnceInOrder(t *testing.T) {
+func TestMembershipAppliesEachRecordOnceInOrder(t *testing.T) {
 	views := &route.Views{}
 	m := registry.NewMembership(registry.New(views), poison.NewTracker())
 	record := func(id string, revision uint64, gone bool) *wire.Instance {
--- a/entry/registry/registry.go
+++ b/entry/registry/registry.go
@@ -6,7 +6,7 @@
 // Usage:
 //
 //	reg := registry.New(views)
-//	reg.Update([]registry.Change{registry.Announced(message), registry.Removed("catalogue-2")})
+//	reg.Update([]registry.Change{registry.Announced(record), registry.Removed("catalogue-2")})
 package registry
 
 import (
--- a/entry/registry/registry_test.go
+++ b/entry/registry/registry_test.go
@@ -37,7 +37,7 @@
 	must.Len(t, 29, views.Load("s2").Members())
 }
 
-func TestLoadOutlivesAddressAndSilenceButNotTheIncarnation(t *testing.T) {
+func TestLoadIsKeptAcrossAddressesAndAbsencesButNotIncarnations(t *testing.T) {
 	views := &route.Views{}
 	reg := registry.New(views)
 	router := route.NewRouter(views, route.NewLeastLoaded())
--- a/entry/rules/rules_test.go
+++ b/entry/rules/rules_test.go
@@ -9,7 +9,7 @@
 	"github.com/snipebeam/snipebeam/world/wire"
 )
 
-func TestVersionNeverGoesBack(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	table := rules.NewTable()
 	start := time.Unix(1000, 0)
 	advance := func(n uint64) bool {
--- a/entry/settings/poison.go
+++ b/entry/settings/poison.go
@@ -2,7 +2,7 @@
 
 import "github.com/snipebeam/snipebeam/world/setting"
 
-// Poison configures when a request that instances fail on is refused.
+// Poison configures when a request suspected of crashing instances is refused.
 type Poison struct {
 	Losses         int     `toml:"losses" comment:"instances lost with a request before it is refused"`
 	RefusalSeconds float64 `toml:"refusalSeconds" comment:"time that it is refused"`
--- a/snipebeam/command/submitflags.go
+++ b/snipebeam/command/submitflags.go
@@ -116,7 +116,7 @@
 		}
 		return errors.Wrap(err, "submit")
 	}
-	advice := "run the same command again, it stays the same submission"
+	advice := "run the same command again, which resends the same submission"
 	if pending.Path() == "" {
 		advice = "run it again with --submission-id " + pending.ID
 	}
--- a/snipebeam/control/client.go
+++ b/snipebeam/control/client.go
@@ -132,26 +132,26 @@
 	errs  []error
 }
 
-func (f *CallError) add(address string, err error) {
-	f.hosts = append(f.hosts, address)
-	f.errs = append(f.errs, err)
+func (e *CallError) add(address string, err error) {
+	e.hosts = append(e.hosts, address)
+	e.errs = append(e.errs, err)
 }
 
 // Error lists the error of each host, followed by a hint what to do next.
-func (f *CallError) Error() string {
-	if len(f.errs) == 0 {
+func (e *CallError) Error() string {
+	if len(e.errs) == 0 {
 		return "no control host is named (use --control or SNIPEBEAM_CONTROL)"
 	}
-	parts := make([]string, 0, len(f.errs))
-	for n, err := range f.errs {
-		parts = append(parts, f.hosts[n]+": "+strings.TrimPrefix(err.Error(), "twirp error "))
+	parts := make([]string, 0, len(e.errs))
+	for n, err := range e.errs {
+		parts = append(parts, e.hosts[n]+": "+strings.TrimPrefix(err.Error(), "twirp error "))
 	}
-	return strings.Join(parts, "; ") + f.hint()
+	return strings.Join(parts, "; ") + e.hint()
 }
 
-func (f *CallError) hint() string {
+func (e *CallError) hint() string {
 	var t twirp.Error
-	if !errors.As(f.errs[len(f.errs)-1], &t) {
+	if !errors.As(e.errs[len(e.errs)-1], &t) {
 		return " (name other control hosts with --control)"
 	}
 	switch t.Code() {
@@ -169,12 +169,12 @@
 }
 
 // Unwrap returns the errors of the hosts.
-func (f *CallError) Unwrap() []error { return f.errs }
+func (e *CallError) Unwrap() []error { return e.errs }
 
 // OutcomeUnknown reports whether the call may have been carried out although no
 // host responded.
-func (f *CallError) OutcomeUnknown() bool {
-	for _, err := range f.errs {
+func (e *CallError) OutcomeUnknown() bool {
+	for _, err := range e.errs {
 		if !permanent(err) {
 			return true
 		}
--- a/snipebeam/submission/submission.go
+++ b/snipebeam/submission/submission.go
@@ -5,9 +5,12 @@
 //
 // Usage:
 //
-//	pending, err := submission.Open(dir, hosts, text)
-//	response, err := client.Submit(ctx, pending.Request())
-//	if err == nil { pending.Done() }
+//	pending, err := submission.Find(folder, hosts, text)
+//	if err == nil && pending == nil {
+//		pending, err = submission.New(folder, hosts, text, base)
+//	}
+//	response, err := client.Submit(ctx, &wire.SubmitRequest{SubmissionId: pending.ID, ...})
+//	if err == nil { err = pending.Done() }
 package submission
 
 import (
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -3,7 +3,7 @@
 //
 // Usage:
 //
-//	summary := caller.Run(ctx, caller.Config{Platforms: platforms, Service: "catalogue", Rate: 200})
+//	summary := caller.Run(ctx, caller.Config{EntryAddresses: addresses, Service: "catalogue", Rate: 200})
 package caller
 
 import (
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -9,7 +9,7 @@
 //
 // Usage:
 //
-//	server := upstream.New(upstream.Config{ID: "catalogue-1", Service: "catalogue", Slots: 3, Work: 5 * time.Millisecond})
+//	server := upstream.New(upstream.Config{ID: "catalogue-1", Service: "catalogue", Slots: 3, ServiceTime: 5 * time.Millisecond})
 //	http.Serve(listener, server)
 package upstream
 
@@ -174,8 +174,8 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// execute reads the body of a request and simulates its service time. The
-// caller must hold a slot.
+// execute reads the body of a request and simulates its service time. A slot
+// must be held.
 func (s *Server) execute(ctx context.Context, r *http.Request, faults *faultState) (int64, uint64, error) {
 	s.runs.count(r.Header.Get(s.cfg.IdempotencyHeader))
 	if faults.CrashOn != "" && r.URL.Path == faults.CrashOn {
--- a/world/contract/service.go
+++ b/world/contract/service.go
@@ -5,13 +5,13 @@
 // Defaults of the terms of a service.
 const (
 	DefaultProbeBudget     = 0.01 // share of slot time
-	DefaultBacklogCount    = 50
+	DefaultBacklogCount    = 50   // waiting requests
 	DefaultBacklogAge      = 2 * time.Second
-	DefaultSpread          = 3 // entry hosts given to a service's callers, including spares
-	DefaultRetryBudget     = 0.1
+	DefaultSpread          = 3   // entry hosts given to a service's callers, including spares
+	DefaultRetryBudget     = 0.1 // share of requests
 	DefaultServiceOwner    = "nobody named"
-	DefaultServiceInFlight = 0
-	DefaultServiceRate     = 0
+	DefaultServiceInFlight = 0 // no limit
+	DefaultServiceRate     = 0 // no limit
 )
 
 // Service holds the terms that apply to a whole service. It is immutable.
--- a/world/delta/delta.go
+++ b/world/delta/delta.go
@@ -116,7 +116,7 @@
 // find returns the position of a line in the older text. It prefers one shortly
 // after next, so that repeated lines do not produce many steps.
 func (d *differ) find(line string, next int) (int, bool) {
-	const window = 8
+	const window = 8 // lines
 	for at := next; at < min(next+window, len(d.older)); at++ {
 		if d.older[at] == line {
 			return at, true
--- a/world/link/link.go
+++ b/world/link/link.go
@@ -27,7 +27,7 @@
 )
 
 // SilentLimit is how long a peer may stay silent, that is, send no data,
-// acknowledgement or answer to a keepalive probe.
+// acknowledgement or response to a keepalive probe.
 const SilentLimit = 2 * time.Second
 
 // Timeouts bound how long one kind of link waits for its peer.
--- a/world/rule/at.go
+++ b/world/rule/at.go
@@ -14,7 +14,7 @@
 func (p *parser) hostRoute(n int, node *routeNode, r *Rule) {
 	if node.At == nil {
 		if node.Weight != "" || len(node.Others) > 0 {
-			p.fail(n, node.Pos.Column, "weights stand on a line without a host", "write at HOST /PREFIX/ after them")
+			p.fail(n, node.Pos.Column, "weights on a line without a host", "write at HOST /PREFIX/ after them")
 		}
 		return
 	}
--- a/world/rule/lint.go
+++ b/world/rule/lint.go
@@ -61,7 +61,7 @@
 		l.fail(first.place, fmt.Sprintf("no service line names %s", name), hint)
 		return
 	}
-	l.warn(first.place, fmt.Sprintf("service %s has no service line, so nobody is told of its backlog", name),
+	l.warn(first.place, fmt.Sprintf("service %s has no service line, so nobody is notified of its backlog", name),
 		"add a line \"service "+name+": owner NAME # who: why\"")
 }
 
--- a/world/rule/lint_test.go
+++ b/world/rule/lint_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestAnAcceptedFileStaysReadable(t *testing.T) {
+func TestAnAcceptedFileRemainsReadable(t *testing.T) {
 	text := "route a POST: retries 1 # w: taken by an earlier release"
 	_, findings := rule.Parse("rules", text)
 	must.True(t, findings.HasErrors())
--- a/world/rule/parse.go
+++ b/world/rule/parse.go
@@ -92,17 +92,17 @@
 // reuseLine adds a line from the previous version at its new position, and reports
 // whether the previous version has that line.
 func (p *parser) reuseLine(n int, text string) bool {
-	known, ok := p.previous[text]
+	content, ok := p.previous[text]
 	switch {
 	case !ok:
 		return false
-	case known.service != nil:
-		line := *known.service
+	case content.service != nil:
+		line := *content.service
 		line.place = finding.At(p.file, n, line.place.Column())
 		p.addService(line.terms.Name(), &line)
 		p.set.parsedLines[text] = lineContent{service: &line}
 	default:
-		r := *known.rule
+		r := *content.rule
 		r.place = finding.At(p.file, n, r.place.Column())
 		p.add(&r)
 		p.set.parsedLines[text] = lineContent{rule: &r}
@@ -130,7 +130,7 @@
 		return nil
 	}
 	if at := strings.IndexFunc(text, isForbidden); at >= 0 {
-		p.fail(n, utf8.RuneCountInString(text[:at])+1, fmt.Sprintf("the line holds the character %U", text[at]), "a rules file is plain UTF-8 text")
+		p.fail(n, utf8.RuneCountInString(text[:at])+1, fmt.Sprintf("the line contains the character %U", text[at]), "a rules file is plain UTF-8 text")
 		return nil
 	}
 	trimmed := strings.TrimSpace(text)
--- a/world/rule/pattern.go
+++ b/world/rule/pattern.go
@@ -32,7 +32,7 @@
 		return pattern{}, nil
 	}
 	if strings.ContainsAny(text, "?;") {
-		return pattern{}, errors.New("a pattern holds a path only, no query or parameters")
+		return pattern{}, errors.New("a pattern contains only a path, no query or parameters")
 	}
 	p := pattern{given: true}
 	parts := strings.Split(text[1:], "/")
@@ -54,9 +54,9 @@
 	segment, err := url.PathUnescape(part)
 	switch {
 	case err != nil:
-		return "", errors.Errorf("%s holds a %% that is no encoding", part)
+		return "", errors.Errorf("%s contains a %% that is no encoding", part)
 	case strings.Contains(segment, anySegments):
-		return "", errors.New("** may stand only as the whole last segment")
+		return "", errors.New("** is allowed only as the whole last segment")
 	case segment == "." || segment == "..":
 		return "", errors.Errorf("no request matches a segment %s", segment)
 	case segment == "" && !last:
--- a/world/rule/rule_test.go
+++ b/world/rule/rule_test.go
@@ -22,7 +22,7 @@
 	must.Eq(t, []string{"rules:1:44", "rules:2:42", "rules:3:17", "rules:3:27", "rules:4:7", "rules:4:7", "rules:5:32"}, places)
 }
 
-func TestMatchTakesTheFirstRule(t *testing.T) {
+func TestMatchReturnsTheFirstRule(t *testing.T) {
 	set, findings := rule.Parse("rules", `route a GET /x/**: deadline 1s # w: first
 route a: deadline 2s # w: rest`)
 	must.NoError(t, findings.Err())
