--- a/bench/route/virtual/run.go
+++ b/bench/route/virtual/run.go
@@ -225,7 +225,7 @@
 	}
 	sim.clock.after(timeout, func() {
 		sim.result.recordResponse(a.at, sim.clock.now, true)
-		t.Finish(route.Report{Latency: time.Duration(sim.clock.now - sentAt), Failed: true, ConnectionLost: true})
+		t.Finish(route.Report{Latency: time.Duration(sim.clock.now - sentAt), Failed: true, Unreachable: true})
 	})
 }
 
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -256,14 +256,14 @@
 	case upstream.Cancelled:
 		d.report.Failed = d.c.ctx.cause() == errDeadline
 	case upstream.Unopened:
-		d.report.Failed, d.report.ConnectionLost = true, true
+		d.report.Failed, d.report.Unreachable = true, true
 	case upstream.Silent:
-		d.report.ConnectionLost = !pool.CanConnect(ctx, address)
-		d.report.Failed = d.report.ConnectionLost
+		d.report.Unreachable = !pool.CanConnect(ctx, address)
+		d.report.Failed = d.report.Unreachable
 	case upstream.Closed, upstream.Stale:
 		d.report.Failed = true
-		d.report.ConnectionLost = !pool.Reachable(ctx, address)
-		if d.report.ConnectionLost {
+		d.report.Unreachable = !pool.Reachable(ctx, address)
+		if d.report.Unreachable {
 			d.flight.InstanceLost(ctx)
 		}
 	case upstream.Malformed:
--- a/entry/caller/response.go
+++ b/entry/caller/response.go
@@ -44,14 +44,14 @@
 	d.c.ctx.disarm()
 	d.report.Failed = response.StatusCode >= http.StatusInternalServerError
 	if report, ok := d.c.dialect.Load(response.Header); ok {
-		d.report.ReportedLoad, d.report.Slowdown, d.report.HasReportedLoad = report.Requests, report.Speed, true
+		d.report.ReportedLoad, d.report.Slowdown, d.report.HasReportedLoad = report.Requests, report.Slowdown, true
 	}
 	d.c.decision.Status = response.StatusCode
 	d.flight.Answered()
 	if d.c.dialect.Refused(response.StatusCode, response.Header) {
 		d.report.Refused, d.report.Failed = true, false
 		if misdirected := d.c.dialect.Misdirected; misdirected != nil && misdirected(response.StatusCode) {
-			d.report.ConnectionLost = true
+			d.report.Unreachable = true
 		}
 		return result{problem: d.c.problem(outcome.NotRun, outcome.UpstreamRefused, "the instance refused the request before starting it"), instance: id}
 	}
