--- a/bench/route/virtual/run.go
+++ b/bench/route/virtual/run.go
@@ -219,7 +219,7 @@
 	}
 	f.clock.after(timeout, func() {
 		f.result.answer(a.at, f.clock.now, true)
-		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: true, ConnectionLost: true})
+		t.Finish(route.Report{Latency: time.Duration(f.clock.now - sentAt), Failed: true, Unreachable: true})
 	})
 }
 
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -51,7 +51,7 @@
 			return c.overall(result.problem)
 		}
 		retries.Inc()
-		c.tracker.Requeue(time.Now())
+		c.backlogEntry.Requeue(time.Now())
 		tried = append(tried, result.instance)
 	}
 }
@@ -99,10 +99,10 @@
 // query returns a query for an instance that no earlier attempt has used.
 func (c *call) query(zone string, tried []instance.ID) route.Query {
 	q := route.NewQuery(c.service, c.rule.Contract(), c.caller, zone, tried...)
-	if c.aim.IsZero() {
+	if c.softDeadline.IsZero() {
 		return q
 	}
-	return q.WithSoftDeadline(c.aim)
+	return q.WithSoftDeadline(c.softDeadline)
 }
 
 // attempt sends the request to one instance.
@@ -126,21 +126,21 @@
 // dispatch is one attempt at one instance. Its ticket and its flight end exactly
 // once, even if the handler panics.
 type dispatch struct {
-	h        *Handler
-	c        *call
-	ticket   *route.Ticket
-	target   *instance.Instance
-	flight   *poison.Attempt
-	report   route.Report
-	recorder *recorder
-	ctx      context.Context // of the exchange, nil for that of the call
-	cancel   context.CancelFunc
-	stale    bool // the instance closed a connection on which it may have received the request
-	started  time.Time
+	h             *Handler
+	c             *call
+	ticket        *route.Ticket
+	target        *instance.Instance
+	poisonAttempt *poison.Attempt
+	report        route.Report
+	recorder      *recorder
+	ctx           context.Context // of the exchange, nil for that of the call
+	cancel        context.CancelFunc
+	stale         bool // the instance closed a connection on which it may have received the request
+	started       time.Time
 }
 
 func (d *dispatch) finish() {
-	d.flight.End()
+	d.poisonAttempt.End()
 	d.ticket.Finish(d.report)
 }
 
@@ -153,10 +153,10 @@
 // begin records the start of the attempt.
 func (d *dispatch) begin() {
 	c := d.c
-	d.flight = d.h.cfg.Suspects.Begin(c.ctx, c.fingerprint, string(d.target.ID()))
-	c.tracker.Dispatched(d.target.ID(), time.Now())
+	d.poisonAttempt = d.h.cfg.Suspects.Begin(c.ctx, c.fingerprint, string(d.target.ID()))
+	c.backlogEntry.Dispatched(d.target.ID(), time.Now())
 	if c.body.complete {
-		c.tracker.Sent(time.Now())
+		c.backlogEntry.Sent(time.Now())
 	}
 	d.started = time.Now()
 }
@@ -256,15 +256,15 @@
 	case upstream.Cancelled:
 		d.report.Failed = d.c.ctx.cause() == errDeadline
 	case upstream.Unopened:
-		d.report.Failed, d.report.ConnectionLost = true, true
+		d.report.Failed, d.report.Unreachable = true, true
 	case upstream.Silent:
-		d.report.ConnectionLost = !pool.CanConnect(ctx, address)
-		d.report.Failed = d.report.ConnectionLost
+		d.report.Unreachable = !pool.CanConnect(ctx, address)
+		d.report.Failed = d.report.Unreachable
 	case upstream.Closed, upstream.Stale:
 		d.report.Failed = true
-		d.report.ConnectionLost = !pool.Reachable(ctx, address)
-		if d.report.ConnectionLost {
-			d.flight.InstanceLost(ctx)
+		d.report.Unreachable = !pool.Reachable(ctx, address)
+		if d.report.Unreachable {
+			d.poisonAttempt.InstanceLost(ctx)
 		}
 	case upstream.Malformed:
 		d.report.Failed = true
--- a/entry/caller/body.go
+++ b/entry/caller/body.go
@@ -124,8 +124,8 @@
 	b.bytesRead += int64(n)
 	tooLarge := b.bytesRead > b.maxBytes
 	b.mu.Unlock()
-	if b.call.tracker != nil {
-		b.call.tracker.AddBodyBytes(n, b.call.rule.Contract().Bulk())
+	if b.call.backlogEntry != nil {
+		b.call.backlogEntry.AddBodyBytes(n, b.call.rule.Contract().Bulk())
 	}
 	if tooLarge {
 		return 0, errBodyTooLarge
@@ -168,8 +168,8 @@
 		// An error means that the connection has failed already.
 		_ = b.call.controller.SetReadDeadline(time.Time{})
 	}
-	if b.call.tracker != nil {
-		b.call.tracker.Sent(time.Now())
+	if b.call.backlogEntry != nil {
+		b.call.backlogEntry.Sent(time.Now())
 	}
 }
 
--- a/entry/caller/call.go
+++ b/entry/caller/call.go
@@ -32,13 +32,13 @@
 	caller          string
 	version         uint64
 	rule            *rule.Rule
-	tracker         *backlog.Request // tracks the request in the backlog
+	backlogEntry    *backlog.Request // tracks the request in the backlog
 	w               http.ResponseWriter
 	controller      *http.ResponseController
 	r               *http.Request
 	body            *body
 	ctx             *deadlineContext
-	aim             time.Time // by which the rule aims to respond, zero for no aim
+	softDeadline    time.Time // by which the rule aims to respond, zero for no aim
 	progressTimeout time.Duration
 	incomingAttempt int // number of the attempt by the layer above, 1 for the first
 	fingerprint     poison.Fingerprint
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -41,7 +41,7 @@
 	// Try is Acquire without waiting; nil: no instance has spare capacity.
 	Try(q route.Query) *route.Ticket
 	// HedgeDelay returns the time after which a response is late, 0 if unknown.
-	HedgeDelay(service string, aim time.Duration) time.Duration
+	HedgeDelay(service string, target time.Duration) time.Duration
 }
 
 // RetryBudget limits retries by service.
@@ -124,9 +124,9 @@
 		return
 	}
 	defer h.inFlight.release(c.caller)
-	c.tracker = h.cfg.Backlog.Track(c.service, time.Now())
+	c.backlogEntry = h.cfg.Backlog.Track(c.service, time.Now())
 	failed := true
-	defer func() { c.tracker.End(failed, time.Now()) }()
+	defer func() { c.backlogEntry.End(failed, time.Now()) }()
 	problem := h.run(c)
 	failed = problem != nil
 	if problem != nil {
@@ -216,7 +216,7 @@
 	terms := c.rule.Contract()
 	c.ctx = newDeadlineContext(c.r, terms, c.dialect.Deadline)
 	defer c.ctx.stop()
-	c.aim = h.timeouts.aim(c.rule, c.ctx.callerTimeout, time.Now())
+	c.softDeadline = h.timeouts.softDeadline(c.rule, c.ctx.callerTimeout, time.Now())
 	if terms.Once() && c.r.Header.Get(terms.OnceHeader()) == "" {
 		return outcome.New(outcome.NotRun, outcome.KeyMissing, "the rule requires the header "+terms.OnceHeader())
 	}
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -290,8 +290,8 @@
 	return &wire.ReleaseResponse{Released: true}, err
 }
 
-// settle waits until a host's claims are settled.
-func settle(t *testing.T, e *entryHost) {
+// waitSettled waits until a host's claims are settled.
+func waitSettled(t *testing.T, e *entryHost) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
--- a/entry/caller/hedge.go
+++ b/entry/caller/hedge.go
@@ -55,7 +55,7 @@
 			if second == nil {
 				return arrived.d.conclude(arrived.attempt, arrived.exchange, arrived.err)
 			}
-			return settle(arrived, results, first, second)
+			return concludeHedged(arrived, results, first, second)
 		case <-late.C:
 			if second = h.hedge(first, tried); second == nil {
 				continue
@@ -103,9 +103,9 @@
 	}()
 }
 
-// settle forwards the first acceptable response of two exchanges, or the last
+// concludeHedged forwards the first acceptable response of two exchanges, or the last
 // one if neither is acceptable.
-func settle(arrived exchangeResult, results <-chan exchangeResult, first, second *dispatch) result {
+func concludeHedged(arrived exchangeResult, results <-chan exchangeResult, first, second *dispatch) result {
 	other := first
 	if arrived.d == first {
 		other = second
--- a/entry/caller/response.go
+++ b/entry/caller/response.go
@@ -40,18 +40,18 @@
 // the response stands for: a refusal, or an outcome of the layer below.
 func (d *dispatch) handleResponse(exchange *upstream.Exchange) result {
 	response, id := exchange.Response(), d.target.ID()
-	d.c.tracker.ResponseStarted(time.Now())
+	d.c.backlogEntry.ResponseStarted(time.Now())
 	d.c.ctx.disarm()
 	d.report.Failed = response.StatusCode >= http.StatusInternalServerError
 	if report, ok := d.c.dialect.Load(response.Header); ok {
-		d.report.ReportedLoad, d.report.Slowdown, d.report.HasReportedLoad = report.Requests, report.Speed, true
+		d.report.ReportedLoad, d.report.Slowdown, d.report.HasReportedLoad = report.Requests, report.Slowdown, true
 	}
 	d.c.decision.Status = response.StatusCode
-	d.flight.Answered()
+	d.poisonAttempt.Answered()
 	if d.c.dialect.Refused(response.StatusCode, response.Header) {
 		d.report.Refused, d.report.Failed = true, false
 		if misdirected := d.c.dialect.Misdirected; misdirected != nil && misdirected(response.StatusCode) {
-			d.report.ConnectionLost = true
+			d.report.Unreachable = true
 		}
 		return result{problem: d.c.problem(outcome.NotRun, outcome.UpstreamRefused, "the instance refused the request before starting it"), instance: id}
 	}
@@ -119,7 +119,7 @@
 		n, err := body.Read(buffer[:])
 		if n > 0 {
 			rec.recordBody(buffer[:n])
-			c.tracker.AddBodyBytes(n, c.rule.Contract().Bulk())
+			c.backlogEntry.AddBodyBytes(n, c.rule.Contract().Bulk())
 			c.writeChunk(buffer[:n], err == nil)
 		}
 		if errors.Is(err, io.EOF) {
--- a/entry/caller/timeouts.go
+++ b/entry/caller/timeouts.go
@@ -15,17 +15,17 @@
 	longest map[string]time.Duration // by the rule's prefix and host
 }
 
-// aim returns the time by which the rule aims to respond, zero if it has no
+// softDeadline returns the time by which the rule aims to respond, zero if it has no
 // aim. timeout is the one that the caller sent, 0 for none.
-func (t *callerTimeouts) aim(r *rule.Rule, timeout time.Duration, now time.Time) time.Time {
-	aim := r.Contract().Aim()
-	if aim == 0 {
+func (t *callerTimeouts) softDeadline(r *rule.Rule, timeout time.Duration, now time.Time) time.Time {
+	target := r.Contract().Aim()
+	if target == 0 {
 		return time.Time{}
 	}
 	if timeout == 0 {
-		return now.Add(aim)
+		return now.Add(target)
 	}
-	return now.Add(aim - (t.observe(r.Host()+r.Prefix(), timeout) - timeout))
+	return now.Add(target - (t.observe(r.Host()+r.Prefix(), timeout) - timeout))
 }
 
 // observe records a timeout and returns the longest one of the rule so far.
--- a/entry/gossip/exchange.go
+++ b/entry/gossip/exchange.go
@@ -154,11 +154,11 @@
 		if digest, known := remote[hash]; known && digest == c.digestOf(key) {
 			continue
 		}
-		c.appendIfRoom(reply, key)
+		c.appendIfFits(reply, key)
 	}
 }
 
-func (c *Core) appendIfRoom(d *wire.GossipDatagram, key string) {
+func (c *Core) appendIfFits(d *wire.GossipDatagram, key string) {
 	if proto.Size(d)+c.recordBytes(key)+headerBytes+addressingBytes <= MaxDatagramBytes {
 		c.appendRecord(d, key)
 	}
@@ -169,11 +169,11 @@
 func (c *Core) handleRecords(d *wire.GossipDatagram, stale []string) {
 	reply := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_RECORDS}
 	for _, key := range stale {
-		c.appendIfRoom(reply, key)
+		c.appendIfFits(reply, key)
 	}
 	for _, hash := range d.GetWanted() {
 		if key, known := c.index.find(hash); known {
-			c.appendIfRoom(reply, key)
+			c.appendIfFits(reply, key)
 		}
 	}
 	if len(reply.GetHosts())+len(reply.GetInstances()) > 0 {
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -29,11 +29,11 @@
 		w.run(convergenceTime)
 		must.NoError(t, w.converged())
 		w.loss = 0.1
-		w.heartbeats["i3"].message.Draining = true
+		w.announcers["i3"].message.Draining = true
 		took := w.timeUntil(10*time.Second, func(n *node) bool { return n.core.Instance("i3").GetDraining() })
 		must.LessEq(t, 2*time.Second, took)
-		b := w.heartbeats["i5"]
-		delete(w.heartbeats, "i5")
+		b := w.announcers["i5"]
+		delete(w.announcers, "i5")
 		out, err := w.byName[b.entry].core.Withdraw(w.clock(w.byName[b.entry]), "i5", 1)
 		must.NoError(t, err)
 		w.apply(w.byName[b.entry], out)
@@ -46,7 +46,7 @@
 	w := newNetwork(29, 2)
 	w.announce("i", "e03")
 	w.run(convergenceTime)
-	delete(w.heartbeats, "i")
+	delete(w.announcers, "i")
 	took := w.timeUntil(20*time.Second, func(n *node) bool { return !n.core.Usable("i") })
 	must.Between(t, gossip.LeaseTime-time.Second, took, gossip.LeaseTime+2*time.Second)
 }
@@ -71,7 +71,7 @@
 	w.announce("i", "e03")
 	w.run(convergenceTime)
 	w.byName["e03"].down = true
-	delete(w.heartbeats, "i")
+	delete(w.announcers, "i")
 	w.connects["i"] = false
 	took := w.timeUntil(60*time.Second, func(n *node) bool { return !n.core.Usable("i") })
 	must.LessEq(t, 20*time.Second, took)
@@ -88,7 +88,7 @@
 	for range 600 {
 		w.run(100 * time.Millisecond)
 		for _, n := range w.nodes {
-			for id := range w.heartbeats {
+			for id := range w.announcers {
 				must.True(t, n.core.Usable(id), must.Sprintf("%s lost %s at %s", n.name, id, w.now))
 			}
 		}
@@ -120,7 +120,7 @@
 	w.announce("i", "e01").message.Incarnation = 7
 	w.run(convergenceTime)
 	old := w.nodes[4].core.Instance("i")
-	w.heartbeats["i"].message.Incarnation = 8
+	w.announcers["i"].message.Incarnation = 8
 	w.run(2 * time.Second)
 	out := w.nodes[4].core.Merge(w.clock(w.nodes[4]), nil, []*wire.Instance{old})
 	must.SliceEmpty(t, out.Instances)
@@ -220,7 +220,7 @@
 	start := w.now
 	for range 60 {
 		w.run(time.Second)
-		for _, b := range w.heartbeats {
+		for _, b := range w.announcers {
 			b.message.Cold = !b.message.Cold
 		}
 		for _, n := range w.nodes {
@@ -251,7 +251,7 @@
 	w.partition(2)
 	w.run(20 * time.Second)
 	must.NotEq(t, "e01", w.nodes[3].core.Instance("i").GetHeardBy())
-	delete(w.heartbeats, "i")
+	delete(w.announcers, "i")
 	out, err := w.nodes[1].core.Withdraw(w.clock(w.nodes[1]), "i", 1)
 	must.NoError(t, err)
 	w.apply(w.nodes[1], out)
--- a/entry/gossip/network_test.go
+++ b/entry/gossip/network_test.go
@@ -51,12 +51,12 @@
 	cut        map[link]bool
 	loss, dup  float64
 	connects   map[string]bool // instances that accept connections
-	heartbeats map[string]*heartbeat
+	announcers map[string]*announcer
 	pulls      bool
 }
 
-// heartbeat is one instance that announces itself every 500 ms.
-type heartbeat struct {
+// announcer is one instance that announces itself every 500 ms.
+type announcer struct {
 	message *wire.Instance
 	entry   string
 	reaches func(entry string) bool
@@ -65,7 +65,7 @@
 func newNetwork(hosts int, seed uint64, opts ...gossip.Option) *network {
 	w := &network{
 		random: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*node{}, cut: map[link]bool{},
-		connects: map[string]bool{}, heartbeats: map[string]*heartbeat{}, pulls: true,
+		connects: map[string]bool{}, announcers: map[string]*announcer{}, pulls: true,
 	}
 	for n := range hosts {
 		one := &node{name: fmt.Sprintf("e%02d", n), offset: time.Duration(w.random.IntN(1e6)) * time.Millisecond, epoch: 1}
@@ -194,7 +194,7 @@
 // whose entry host is unreachable moves to a random one.
 func (w *network) announceAll() {
 	for _, id := range w.ids() {
-		b := w.heartbeats[id]
+		b := w.announcers[id]
 		entry := w.byName[b.entry]
 		if entry.down || entry.paused || (b.reaches != nil && !b.reaches(b.entry)) {
 			b.entry = w.nodes[w.random.IntN(len(w.nodes))].name
@@ -206,11 +206,11 @@
 	}
 }
 
-func (w *network) ids() []string { return slices.Sorted(maps.Keys(w.heartbeats)) }
+func (w *network) ids() []string { return slices.Sorted(maps.Keys(w.announcers)) }
 
-func (w *network) announce(id, entry string) *heartbeat {
-	b := &heartbeat{entry: entry, message: &wire.Instance{Id: id, Service: "catalogue", Address: "127.0.0.1:9000", Zone: "z", Slots: 3, Incarnation: 1}}
-	w.heartbeats[id] = b
+func (w *network) announce(id, entry string) *announcer {
+	b := &announcer{entry: entry, message: &wire.Instance{Id: id, Service: "catalogue", Address: "127.0.0.1:9000", Zone: "z", Slots: 3, Incarnation: 1}}
+	w.announcers[id] = b
 	w.connects[id] = true
 	return b
 }
--- a/entry/gossip/property_test.go
+++ b/entry/gossip/property_test.go
@@ -43,8 +43,8 @@
 	return m.w.nodes[rapid.IntRange(0, machineHosts-1).Draw(t, "host")]
 }
 
-func (m *machine) instance(t *rapid.T) *heartbeat {
-	return m.w.heartbeats[fmt.Sprintf("i%d", rapid.IntRange(0, machineInstances-1).Draw(t, "instance"))]
+func (m *machine) instance(t *rapid.T) *announcer {
+	return m.w.announcers[fmt.Sprintf("i%d", rapid.IntRange(0, machineInstances-1).Draw(t, "instance"))]
 }
 
 // Run advances virtual time.
@@ -180,7 +180,7 @@
 	m.w.run(60 * time.Second)
 	must.NoError(m.t, m.w.converged())
 	for _, id := range m.w.ids() {
-		b := m.w.heartbeats[id]
+		b := m.w.announcers[id]
 		for _, n := range m.w.nodes {
 			got := n.core.Instance(id)
 			must.Eq(m.t, b.message.GetIncarnation(), got.GetIncarnation())
@@ -188,8 +188,8 @@
 		}
 	}
 	for _, id := range m.w.ids() {
-		b := m.w.heartbeats[id]
-		delete(m.w.heartbeats, id)
+		b := m.w.announcers[id]
+		delete(m.w.announcers, id)
 		entry := m.w.byName[b.entry]
 		out, err := entry.core.Withdraw(m.w.clock(entry), id, b.message.GetIncarnation())
 		must.NoError(m.t, err)
--- a/entry/host/listener.go
+++ b/entry/host/listener.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if load, ok := o.dialect.Load(h); ok {
-		report.HasLoad, report.Requests, report.Slowdown = true, load.Requests, load.Speed
+		report.HasLoad, report.Requests, report.Slowdown = true, load.Requests, load.Slowdown
 	}
 }
 
--- a/entry/route/record.go
+++ b/entry/route/record.go
@@ -24,12 +24,12 @@
 		load.observeLowerBound(load.work.elapsed(t.work, float64(report.Latency), now), now)
 		return
 	}
-	if report.Refused && !report.ConnectionLost {
+	if report.Refused && !report.Unreachable {
 		load.shrink(maxLimit)
 		load.addPenalty(1, latency, now)
 		return
 	}
-	if report.Failed || report.ConnectionLost {
+	if report.Failed || report.Unreachable {
 		load.shrink(maxLimit)
 		load.addPenalty(slots, latency, now)
 		if load.health.fail(now) {
