--- a/entry/backlog/backlog_test.go
+++ b/entry/backlog/backlog_test.go
@@ -40,7 +40,7 @@
 }
 
 // drive dispatches a request to one instance at every interval for the duration
-// d. The instance answers none of them.
+// d. The instance responds to none of them.
 func drive(tracker *backlog.Tracker, monitor *backlog.Monitor, from time.Time, d, interval time.Duration, sent bool) {
 	next := from
 	for now := from; now.Before(from.Add(d)); now = now.Add(backlog.SampleInterval) {
--- a/entry/backlog/detector.go
+++ b/entry/backlog/detector.go
@@ -40,8 +40,8 @@
 
 const (
 	minSpan              = 350 * time.Millisecond
-	staggeredSpans       = 3 // more spans of the shortest length, started at an offset
-	staggerSamples       = 2 // offset between them
+	staggeredSpans       = 3 // additional spans of the shortest length, each started later than the one before
+	staggerSamples       = 2 // samples by which the start of each is delayed
 	spanCount            = 8 // each is twice as long as the previous one
 	spansCompared        = 5
 	minRiseShare         = 0.25 // of the mean rise; the least for each single rise
@@ -110,7 +110,7 @@
 	return d.cause, d.since
 }
 
-// Restore restores an alarm that was raised before a restart.
+// Restore reinstates an alarm that was raised before a restart.
 func (d *Detector) Restore(cause Cause, since time.Time) { d.cause, d.since = cause, since }
 
 // evaluate closes the spans that have elapsed and runs the tests.
--- a/entry/backlog/latency.go
+++ b/entry/backlog/latency.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of recorded latencies.
+// Constants of the latency histograms.
 const (
 	maxLatency         = 10 * time.Minute
 	latencyDigits      = 2
--- a/entry/backlog/monitor.go
+++ b/entry/backlog/monitor.go
@@ -67,10 +67,10 @@
 	t.excludeTransferring(&s)
 	m.updateAlarm(&t.stats, t.name, "", cfg, s, cfg.Limits)
 	for id, i := range t.instances {
-		one := i.stats.sample(now)
-		one.OldestAge, one.ResponseP99 = i.awaiting.age(now), t.latency.p99
-		one.Pending, one.MinPending = min(one.Pending, i.awaiting.n), min(one.MinPending, i.awaiting.n)
-		m.updateAlarm(&i.stats, t.name, id, cfg, one, Limits{Slots: cfg.Slots(id)})
+		sampled := i.stats.sample(now)
+		sampled.OldestAge, sampled.ResponseP99 = i.awaiting.age(now), t.latency.p99
+		sampled.Pending, sampled.MinPending = min(sampled.Pending, i.awaiting.n), min(sampled.MinPending, i.awaiting.n)
+		m.updateAlarm(&i.stats, t.name, id, cfg, sampled, Limits{Slots: cfg.Slots(id)})
 		t.evictIdle(id, i, now)
 	}
 }
--- a/entry/backlog/stats.go
+++ b/entry/backlog/stats.go
@@ -13,8 +13,8 @@
 	arrivals    uint64
 	completions uint64
 	failures    uint64
-	bytes       uint64 // of request and response bodies
-	bulkBytes   uint64 // the same of bulk requests
+	bytes       uint64 // of request and response bodies, without bulk requests
+	bulkBytes   uint64 // the same of bulk requests only
 
 	lastSample counts
 	rates      rates
--- a/entry/caller/attempt.go
+++ b/entry/caller/attempt.go
@@ -123,8 +123,8 @@
 	return d.run(attempt)
 }
 
-// dispatch is one attempt at one instance. Its ticket and its flight end exactly
-// once, even if the handler panics.
+// dispatch is one attempt at one instance. Its ticket and its poison attempt end
+// exactly once, even if the handler panics.
 type dispatch struct {
 	h             *Handler
 	c             *call
--- a/entry/caller/body.go
+++ b/entry/caller/body.go
@@ -94,19 +94,19 @@
 }
 
 // Read reads the body.
-func (s *bodyReader) Read(p []byte) (int, error) {
-	s.body.streamed = true
-	if len(s.prefix) > 0 {
-		n := copy(p, s.prefix)
-		s.prefix = s.prefix[n:]
+func (r *bodyReader) Read(p []byte) (int, error) {
+	r.body.streamed = true
+	if len(r.prefix) > 0 {
+		n := copy(p, r.prefix)
+		r.prefix = r.prefix[n:]
 		return n, nil
 	}
-	return callerReader{s.body}.Read(p)
+	return callerReader{r.body}.Read(p)
 }
 
 // Close interrupts a read that waits for the caller, unless the body has ended.
-func (s *bodyReader) Close() error {
-	s.body.interrupt()
+func (r *bodyReader) Close() error {
+	r.body.interrupt()
 	return nil
 }
 
@@ -114,8 +114,8 @@
 type callerReader struct{ body *body }
 
 // Read reads from the caller.
-func (s callerReader) Read(p []byte) (int, error) {
-	b := s.body
+func (r callerReader) Read(p []byte) (int, error) {
+	b := r.body
 	if err := b.extendReadDeadline(); err != nil {
 		return 0, err
 	}
--- a/entry/caller/call.go
+++ b/entry/caller/call.go
@@ -38,7 +38,7 @@
 	r               *http.Request
 	body            *body
 	ctx             *deadlineContext
-	softDeadline    time.Time // by which the rule aims to respond, zero for no aim
+	softDeadline    time.Time // by which the response should arrive, zero for none
 	progressTimeout time.Duration
 	incomingAttempt int // number of the attempt by the layer above, 1 for the first
 	fingerprint     poison.Fingerprint
--- a/entry/caller/dialect.go
+++ b/entry/caller/dialect.go
@@ -39,8 +39,8 @@
 
 // LoadReport is the load that an instance reports.
 type LoadReport struct {
-	Requests int     // in slots and waiting
-	Slowdown float64 // current service time as a multiple of the usual one; 0 if not reported
+	Requests int     // running and queued
+	Slowdown float64 // current service time as a multiple of the usual one, 0 if not reported
 }
 
 // ErrorResponse is an outcome other than an instance's response, to be written
--- a/entry/caller/handler.go
+++ b/entry/caller/handler.go
@@ -40,7 +40,8 @@
 	Acquire(ctx context.Context, q route.Query) (*route.Ticket, error)
 	// Try is Acquire without waiting; nil: no instance has spare capacity.
 	Try(q route.Query) *route.Ticket
-	// HedgeDelay returns the time after which a response is late, 0 if unknown.
+	// HedgeDelay returns how long to wait for a response before a hedge is sent,
+	// 0 if unknown. target is the target latency of the rule, 0 for none.
 	HedgeDelay(service string, target time.Duration) time.Duration
 }
 
--- a/entry/caller/harness_test.go
+++ b/entry/caller/harness_test.go
@@ -187,7 +187,7 @@
 	return string(data)
 }
 
-var errClaims = errors.New("no control host answers")
+var errClaims = errors.New("no control host responds")
 
 // fakeClaims is an in-memory control group that keeps tombstones of releases
 // and can lose requests and responses.
--- a/entry/caller/hedge.go
+++ b/entry/caller/hedge.go
@@ -103,8 +103,8 @@
 	}()
 }
 
-// concludeHedged forwards the first acceptable response of two exchanges, or the last
-// one if neither is acceptable.
+// concludeHedged forwards the first acceptable response of two exchanges, or the
+// last one if neither is acceptable.
 func concludeHedged(arrived exchangeResult, results <-chan exchangeResult, first, second *dispatch) result {
 	other := first
 	if arrived.d == first {
--- a/entry/caller/hedge_test.go
+++ b/entry/caller/hedge_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestALateRequestIsSentToASecondInstanceAndTheSlowerOneIsCancelled(t *testing.T) {
+func TestLateRequestIsHedgedAndTheSlowerAttemptIsCancelled(t *testing.T) {
 	slow := &hangingInstance{cancelled: make(chan struct{}, 1)}
 	quick := &hangingInstance{cancelled: make(chan struct{}, 1)}
 	entry := serveEntry(t, newEntry(t, viewsOf(httpInstance(t, slow.handle("slow")), httpInstance(t, quick.handle("quick"))), nil))
@@ -43,7 +43,7 @@
 	<-slow.cancelled
 }
 
-func TestOnlyRulesThatAllowItAreSentTwice(t *testing.T) {
+func TestRequestsAreHedgedOnlyIfTheRuleAllowsIt(t *testing.T) {
 	slow := &hangingInstance{cancelled: make(chan struct{}, 10)}
 	entry := serveEntry(t, newEntry(t, viewsOf(httpInstance(t, slow.handle("slow"))), nil))
 	for range 20 {
--- a/entry/caller/limits_test.go
+++ b/entry/caller/limits_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipebeam/snipebeam/world/outcome"
 )
 
-func TestOneCallerCannotTakeTheWholeHost(t *testing.T) {
+func TestOneCallerCannotUseTheWholeInFlightLimit(t *testing.T) {
 	entered, release := make(chan struct{}, 100), make(chan struct{})
 	address := httpInstance(t, func(http.ResponseWriter, *http.Request) {
 		entered <- struct{}{}
--- a/entry/caller/once_test.go
+++ b/entry/caller/once_test.go
@@ -47,7 +47,7 @@
 	_, _ = w.Write([]byte("paid " + string(data)))
 }
 
-func TestResendGetsTheStoredAnswerFromAnyHost(t *testing.T) {
+func TestResendGetsTheStoredResponseFromAnyHost(t *testing.T) {
 	instance, claims := &counter{}, newClaims()
 	views := viewsOf(httpInstance(t, instance.ServeHTTP))
 	a, b := newEntry(t, views, claims), newEntry(t, views, claims)
@@ -142,7 +142,7 @@
 	must.Eq(t, outcome.ClaimHeld, again.reason())
 }
 
-func TestCutAnswerOfAtMostOnceIsUnknownToTheResend(t *testing.T) {
+func TestTruncatedResponseOfAtMostOnceIsUnknownToTheResend(t *testing.T) {
 	cutting := rawInstance(t, func(conn net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, _ = io.WriteString(conn, "HTTP/1.1 201 Created\r\nContent-Length: 100\r\n\r\nhalf")
@@ -157,7 +157,7 @@
 	must.Eq(t, outcome.AnswerLost, again.reason())
 }
 
-func TestAnswerIsKeptForACallerThatLeft(t *testing.T) {
+func TestResponseIsStoredForACallerThatDisconnected(t *testing.T) {
 	started, proceed := make(chan struct{}), make(chan struct{})
 	instance := &counter{}
 	address := httpInstance(t, func(w http.ResponseWriter, r *http.Request) {
@@ -179,7 +179,7 @@
 	must.Eq(t, 1, instance.of("k"))
 }
 
-func TestLargeAnswerIsNotStoredAndNotRunAgain(t *testing.T) {
+func TestLargeResponseIsNotStoredAndNotRunAgain(t *testing.T) {
 	var runs atomic.Int32
 	large := strings.Repeat("a", 200_000)
 	address := httpInstance(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/entry/caller/outcome_test.go
+++ b/entry/caller/outcome_test.go
@@ -113,7 +113,7 @@
 	must.Eq(t, "", got.header.Get("Link"))
 }
 
-func TestExpectContinueIsAskedForOnlyOnceTheBodyIsWanted(t *testing.T) {
+func TestContinueIsSentOnlyOnceTheBodyIsWanted(t *testing.T) {
 	address := httpInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(data)
@@ -125,7 +125,7 @@
 	must.StrHasPrefix(t, "HTTP/1.1 400 ", got)
 }
 
-func TestEveryMessageIsWrittenAnew(t *testing.T) {
+func TestRequestsAreReserializedBeforeForwarding(t *testing.T) {
 	tests := map[string]struct {
 		text   string
 		prefix string
@@ -166,7 +166,7 @@
 	must.True(t, 0 < first && first < second && second < third)
 }
 
-func TestEarlyAnswerReachesTheCallerDuringItsUpload(t *testing.T) {
+func TestEarlyResponseReachesTheCallerDuringItsUpload(t *testing.T) {
 	address := rawInstance(t, func(conn net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, _ = io.WriteString(conn, "HTTP/1.1 403 Forbidden\r\nContent-Length: 2\r\n\r\nno")
@@ -186,7 +186,7 @@
 	must.True(t, response.Close)
 }
 
-func TestPanicEndsTicketAndBacklogEntryAndIsNoAbort(t *testing.T) {
+func TestPanicReleasesTicketAndBacklogEntryAndIsNoAbort(t *testing.T) {
 	e := newEntry(t, viewsOf(deadAddress(t)), newClaims(), func(cfg *caller.Config) { cfg.Pool = nil })
 	got := call(t, http.MethodPost, serveEntry(t, e), "/x", "b")
 	must.Eq(t, http.StatusInternalServerError, got.status)
@@ -195,7 +195,7 @@
 	must.Zero(t, n)
 }
 
-func TestUploadIsCutWhenItsCallerIs(t *testing.T) {
+func TestUploadIsTruncatedWhenTheCallerDisconnects(t *testing.T) {
 	cut := make(chan error, 1)
 	address := httpInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
@@ -209,7 +209,7 @@
 	must.True(t, errors.Is(<-cut, io.ErrUnexpectedEOF))
 }
 
-func TestChunkedBodyOverTheLimitIsCut(t *testing.T) {
+func TestChunkedBodyOverTheLimitIsTruncated(t *testing.T) {
 	cut := make(chan error, 1)
 	address := httpInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
--- a/entry/caller/retry_test.go
+++ b/entry/caller/retry_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestNoRetryOnceAnAnswerBegan(t *testing.T) {
+func TestNoRetryOnceAResponseHasBegun(t *testing.T) {
 	var n atomic.Int32
 	cutting := rawInstance(t, func(conn net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
--- a/entry/caller/time_test.go
+++ b/entry/caller/time_test.go
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestNoAnswerWithinTheDeadlineIsUnknown(t *testing.T) {
+func TestNoResponseWithinTheDeadlineIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		cancelled := make(chan time.Duration, 1)
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestCallerThatSendsNothingIsCutByProgress(t *testing.T) {
+func TestStalledUploadEndsByTheProgressTimeout(t *testing.T) {
 	for path, reason := range map[string]outcome.Reason{"/photos/1": outcome.BodyCut, "/pay/1": outcome.BodyCut} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newNetwork()
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestLongAnswerOutlivesTheDeadline(t *testing.T) {
+func TestLongResponseOutlivesTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		response, err := upload(t, &slowBody{parts: 1, size: 10}, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -196,7 +196,7 @@
 	})
 }
 
-func TestCallersDeadlineIsTheShorter(t *testing.T) {
+func TestShorterDeadlineOfTheCallerApplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.serve(t, "i:1", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
@@ -210,7 +210,7 @@
 	})
 }
 
-func TestCallerThatLeavesCancelsUnlessTheContractSaysFinish(t *testing.T) {
+func TestDisconnectCancelsUnlessTheContractSaysFinish(t *testing.T) {
 	for path, finishes := range map[string]bool{"/x": false, "/photos/1": true} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newNetwork()
@@ -262,7 +262,7 @@
 	})
 }
 
-func TestSlowReaderIsCutByProgressNotByTime(t *testing.T) {
+func TestSlowReaderIsLimitedByProgressNotByTotalTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.serve(t, "i:1", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/entry/caller/timeouts.go
+++ b/entry/caller/timeouts.go
@@ -9,14 +9,15 @@
 
 // callerTimeouts tracks the longest timeout that callers of each rule have
 // sent. A caller that retries sends a shorter one, and the difference, the time
-// that it has already waited, counts towards the aim.
+// that it has already waited, counts towards the target latency.
 type callerTimeouts struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration // by the rule's prefix and host
 }
 
-// softDeadline returns the time by which the rule aims to respond, zero if it has no
-// aim. timeout is the one that the caller sent, 0 for none.
+// softDeadline returns the time by which the response should arrive, as set by
+// the `aim` of the rule, zero if it has none. timeout is the one that the caller
+// sent, 0 for none.
 func (t *callerTimeouts) softDeadline(r *rule.Rule, timeout time.Duration, now time.Time) time.Time {
 	target := r.Contract().Aim()
 	if target == 0 {
--- a/entry/gossip/dissemination.go
+++ b/entry/gossip/dissemination.go
@@ -150,7 +150,7 @@
 // and returns their keys.
 func (c *Core) appendUpdates(d *wire.GossipDatagram, queues ...*[]string) []string {
 	var keys []string
-	room := MaxDatagramBytes - headerBytes - addressingBytes - proto.Size(d)
+	available := MaxDatagramBytes - headerBytes - addressingBytes - proto.Size(d)
 	taken := map[string]bool{}
 	for _, queue := range queues {
 		for len(*queue) > 0 {
@@ -160,11 +160,11 @@
 				continue
 			}
 			n := c.recordBytes(key)
-			if n > room {
+			if n > available {
 				break
 			}
 			*queue = (*queue)[1:]
-			room -= n
+			available -= n
 			taken[key] = true
 			if c.appendRecord(d, key) {
 				keys = append(keys, key)
--- a/entry/gossip/exchange.go
+++ b/entry/gossip/exchange.go
@@ -132,10 +132,10 @@
 func (c *Core) handleSummary(d *wire.GossipDatagram) {
 	reply := &wire.GossipDatagram{Kind: wire.GossipKind_GOSSIP_RECORDS}
 	remote := map[uint64]uint32{}
-	for _, one := range d.GetSummary() {
-		remote[one.GetKey()] = one.GetDigest()
-		if _, known := c.index.find(one.GetKey()); !known && len(reply.GetWanted()) < maxWanted {
-			reply.Wanted = append(reply.Wanted, one.GetKey())
+	for _, entry := range d.GetSummary() {
+		remote[entry.GetKey()] = entry.GetDigest()
+		if _, known := c.index.find(entry.GetKey()); !known && len(reply.GetWanted()) < maxWanted {
+			reply.Wanted = append(reply.Wanted, entry.GetKey())
 		}
 	}
 	for _, n := range d.GetBuckets() {
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -115,7 +115,7 @@
 	must.NoError(t, w.converged())
 }
 
-func TestOldIncarnationNeverComesBack(t *testing.T) {
+func TestOldIncarnationIsNeverRestored(t *testing.T) {
 	w := newNetwork(5, 7)
 	w.announce("i", "e01").message.Incarnation = 7
 	w.run(convergenceTime)
@@ -183,7 +183,7 @@
 	must.LessEq(t, 2*time.Second, took)
 }
 
-func TestHostReachedThroughOthersIsNotCalledDead(t *testing.T) {
+func TestHostReachedThroughOthersIsNotMarkedDead(t *testing.T) {
 	w := newNetwork(8, 11)
 	w.run(convergenceTime)
 	w.cut[link{"e01", "e02"}], w.cut[link{"e02", "e01"}] = true, true
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestPausedHostDoesNotCallTheOthersDead(t *testing.T) {
+func TestPausedHostDoesNotMarkTheOthersDead(t *testing.T) {
 	w := newNetwork(6, 12)
 	w.announce("i", "e02")
 	w.run(convergenceTime)
@@ -211,7 +211,7 @@
 	must.NoError(t, w.converged())
 }
 
-func TestBytesStayInsideTheBudgetWhateverTheInstances(t *testing.T) {
+func TestSentBytesStayWithinTheBudgetForManyInstances(t *testing.T) {
 	const rate = 3072
 	w := newNetwork(10, 13, gossip.WithRate(rate))
 	for n := range 400 {
@@ -243,7 +243,7 @@
 	must.LessEq(t, 60*time.Second, w.timeUntil(2*time.Minute, func(n *node) bool { return len(n.core.Instances()) == 60 }))
 }
 
-func TestLeavingIsFinalThoughTheOtherHalfTookTheInstanceOver(t *testing.T) {
+func TestWithdrawalIsFinalThoughTheOtherHalfAdoptedTheInstance(t *testing.T) {
 	w := newNetwork(4, 15)
 	b := w.announce("i", "e01")
 	b.reaches = func(entry string) bool { return entry == "e01" }
@@ -291,7 +291,7 @@
 	must.SliceEmpty(t, n.core.Receive(w.clock(n), ping).Sends)
 }
 
-func TestRecordsThatDifferInAnythingAreFound(t *testing.T) {
+func TestRecordsThatDifferInAnyFieldAreFound(t *testing.T) {
 	w := newNetwork(2, 18)
 	w.pulls = false
 	w.run(convergenceTime)
--- a/entry/gossip/property_test.go
+++ b/entry/gossip/property_test.go
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestHostThatSomeReachIsNeverCalledDead(t *testing.T) {
+func TestHostThatSomeReachIsNeverMarkedDead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNetwork(8, rapid.Uint64().Draw(t, "seed"))
 		w.run(convergenceTime)
--- a/entry/limit/budget.go
+++ b/entry/limit/budget.go
@@ -4,17 +4,17 @@
 
 // Constants of a budget.
 const (
-	unit         = 1 << 20 // fixed-point representation of one event
-	maxSaved     = 10      // maximum balance, in events
-	initialSaved = 3       // events that a new budget has
+	unit           = 1 << 20 // fixed-point representation of one event
+	maxBalance     = 10      // maximum balance, in events
+	initialBalance = 3       // events that a new budget has
 )
 
 // Budget allows additional events, such as retries, as a share of regular ones. A
 // host earns only from its own requests, so the share holds across all hosts
 // without coordination.
 type Budget struct {
-	saved atomic.Int64
-	ready atomic.Bool
+	balance atomic.Int64
+	ready   atomic.Bool
 }
 
 // Earn records an event of which the given share may be spent.
@@ -27,11 +27,11 @@
 func (b *Budget) Spend() bool {
 	b.start()
 	for {
-		saved := b.saved.Load()
-		if saved < unit {
+		balance := b.balance.Load()
+		if balance < unit {
 			return false
 		}
-		if b.saved.CompareAndSwap(saved, saved-unit) {
+		if b.balance.CompareAndSwap(balance, balance-unit) {
 			return true
 		}
 	}
@@ -39,15 +39,15 @@
 
 func (b *Budget) start() {
 	if !b.ready.Load() && b.ready.CompareAndSwap(false, true) {
-		b.add(initialSaved * unit)
+		b.add(initialBalance * unit)
 	}
 }
 
 func (b *Budget) add(n int64) {
 	for {
-		saved := b.saved.Load()
-		next := min(saved+n, maxSaved*unit)
-		if b.saved.CompareAndSwap(saved, next) {
+		balance := b.balance.Load()
+		next := min(balance+n, maxBalance*unit)
+		if b.balance.CompareAndSwap(balance, next) {
 			return
 		}
 	}
--- a/entry/poison/attempt.go
+++ b/entry/poison/attempt.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Answered clears the request of suspicion: an instance has executed it without
-// being lost. A request that is already refused stays refused.
+// Answered clears the request of suspicion: an instance has responded to it
+// without being lost. A request that is already refused stays refused.
 func (a *Attempt) Answered() {
 	t := a.tracker
 	if !t.hasSuspects.Load() {
--- a/entry/poison/tracker.go
+++ b/entry/poison/tracker.go
@@ -1,11 +1,12 @@
 // Package poison detects requests that bring instances down and refuses them.
 //
 // Each request has a fingerprint. When an instance is lost, the fingerprints in
-// flight there become suspects. A suspect that another instance answers is
-// cleared. One that is in flight at the loss of a second instance is refused for
-// a set time. Suspects run one at a time, so that a harmless request is not in
-// flight on its second instance together with the poison request. Correlated
-// losses, such as those of a whole rack, do not count against any request.
+// flight there become suspects. A suspect that gets a response from another
+// instance is cleared. One that is in flight at the loss of a second instance is
+// refused for a set time. Suspects run one at a time, so that a harmless request
+// is not in flight on its second instance together with the poison request.
+// Correlated losses, such as those of a whole rack, do not count against any
+// request.
 //
 // Usage:
 //
@@ -34,9 +35,9 @@
 	DefaultLossLimit     = 2 // lost instances after which a request is refused
 	DefaultRefusalPeriod = 10 * time.Minute
 	DefaultSuspectTTL    = 10 * time.Minute // since the last loss
-	correlatedLosses     = 3                // losses within correlationWindow that count against no request
+	correlatedLosses     = 3                // number of losses within correlationWindow from which they count against no request
 	correlationWindow    = time.Second
-	exclusiveWait        = 2 * time.Second
+	exclusiveWait        = 2 * time.Second // maximum wait of a suspect for another one to end
 	maxSuspects          = 10_000
 )
 
@@ -240,7 +241,8 @@
 	}
 }
 
-// evictExpired drops suspects that were not seen for DefaultSuspectTTL.
+// evictExpired drops suspects that have not been seen for DefaultSuspectTTL and
+// are no longer refused.
 func (t *Tracker) evictExpired(now time.Time) {
 	for fp, s := range t.suspects {
 		if now.Sub(s.lastSeen) > DefaultSuspectTTL && !now.Before(s.refusedUntil) {
--- a/entry/route/adaptive.go
+++ b/entry/route/adaptive.go
@@ -122,8 +122,8 @@
 	// Requests in transit to or from another zone do not occupy a slot.
 	limit := slots*(1+zoneDelay/serviceLatency) + float64(e.headroom)
 	// Without local requests in flight there, no completion would wake a waiting request.
-	room := local == 0 || inFlight < m.load.inFlightLimit(limit, service/serviceLatency, state)
-	return score, room
+	hasCapacity := local == 0 || inFlight < m.load.inFlightLimit(limit, service/serviceLatency, state)
+	return score, hasCapacity
 }
 
 // staleFactor scales the service time of an instance without a fresh load report,
@@ -134,7 +134,7 @@
 const coldFactor = 2.0
 
 // scoreWithFill returns the score of an instance of which only a share of the slots is used.
-func (e *expectedLatency) scoreWithFill(m *Member, service, local, inFlight, load float64, state State) (score float64, room bool) {
+func (e *expectedLatency) scoreWithFill(m *Member, service, local, inFlight, load float64, state State) (score float64, hasCapacity bool) {
 	slots := float64(m.instance.Slots())
 	if state == Cold || state == Recovering {
 		service *= coldFactor
@@ -142,9 +142,9 @@
 	limit := max(math.Floor(slots*e.fill), 1)
 	score = service * (max(1, (load+1)/slots) + e.slotCost*load/slots)
 	// Without local requests in flight there, no completion would wake a waiting request.
-	room = inFlight < limit || local == 0 && inFlight < slots
+	hasCapacity = inFlight < limit || local == 0 && inFlight < slots
 	if state == Recovering {
-		room = local < minLimit
+		hasCapacity = local < minLimit
 	}
-	return score, room
+	return score, hasCapacity
 }
--- a/entry/route/limit.go
+++ b/entry/route/limit.go
@@ -9,8 +9,9 @@
 
 // inFlightLimit returns how many requests may be in flight at the instance. The
 // limit increases additively with successes, decreases multiplicatively with
-// failures, and is lower for a slow instance.
-func (l *Load) inFlightLimit(maxLimit, slowness float64, state State) float64 {
+// failures, and is lower for a slow instance. latencyRatio is the service time of
+// the instance divided by the mean of its service.
+func (l *Load) inFlightLimit(maxLimit, latencyRatio float64, state State) float64 {
 	if state == Recovering {
 		return minLimit
 	}
@@ -20,8 +21,8 @@
 	} else if state == Cold {
 		bound = minLimit
 	}
-	if slowness > toleratedRatio {
-		bound = min(bound, maxLimit*toleratedRatio/slowness)
+	if latencyRatio > toleratedRatio {
+		bound = min(bound, maxLimit*toleratedRatio/latencyRatio)
 	}
 	return max(bound, minLimit)
 }
--- a/entry/route/load.go
+++ b/entry/route/load.go
@@ -8,17 +8,17 @@
 
 // Constants of the load estimates.
 const (
-	serviceTimeWeight  = 0.12                   // EWMA weight of a new sample of an instance's service time
-	meanLatencyWeight  = 0.005                  // EWMA weight of a new sample of the service's mean latency
-	estimateHalfLife   = 100 * time.Millisecond // age at which an estimate has half its weight
-	peakDecay          = float64(100 * time.Millisecond)
-	penaltyDecay       = float64(200 * time.Millisecond)
-	maxPenalty         = 30.0
-	remoteWeight       = 0.3                   // EWMA weight of a new report
-	reportHalfLife     = 20 * time.Millisecond // age at which a report has half its weight
-	reportTolerance    = 2.0                   // requests by which a report may be below the local in-flight count
-	minLatencyShare    = 0.2                   // share of the expected latency below which a report counts as contradictory
-	ignoreReportsAfter = 8                     // consecutive contradictory reports
+	serviceTimeWeight  = 0.12                            // EWMA weight of a new sample of an instance's service time
+	meanLatencyWeight  = 0.005                           // EWMA weight of a new sample of the service's mean latency
+	estimateHalfLife   = 100 * time.Millisecond          // age at which an estimate has half its weight
+	peakDecay          = float64(100 * time.Millisecond) // time constant, nanoseconds
+	penaltyDecay       = float64(200 * time.Millisecond) // time constant, nanoseconds
+	maxPenalty         = 30.0                            // additional requests in flight
+	remoteWeight       = 0.3                             // EWMA weight of a new report
+	reportHalfLife     = 20 * time.Millisecond           // age at which a report has half its weight
+	reportTolerance    = 2.0                             // requests by which a report may be below the local in-flight count
+	minLatencyShare    = 0.2                             // share of the expected latency below which a report counts as contradictory
+	ignoreReportsAfter = 8                               // consecutive contradictory reports
 )
 
 // atomicFloat is a float64 with lock-free access.
--- a/entry/route/loadprobe.go
+++ b/entry/route/loadprobe.go
@@ -35,9 +35,9 @@
 }
 
 // sendProbes probes instances until a fast one has a free slot (see
-// hasFastFreeMember). The probes of a request take at most the service's probe budget as a share
-// of the time of that request, so the budget holds at any request rate and for
-// any number of hosts.
+// hasFastFreeMember). The probes of a request take at most the service's probe
+// budget as a share of the time of that request, so the budget holds at any
+// request rate and for any number of hosts.
 func (d *Dispatcher) sendProbes(ctx context.Context, q *Query) (stats ProbeStats) {
 	view := d.router.views.Load(d.service)
 	if d.router.probe == nil || view == nil || len(view.members) < 2 || d.waiting.Load() > 0 {
--- a/entry/route/lowest.go
+++ b/entry/route/lowest.go
@@ -5,7 +5,7 @@
 	// Score returns a member's score, and whether it has capacity for one more
 	// request. serviceLatency is the mean service time in nanoseconds, slowdown the
 	// mean slowdown that instances of the service report; both are 0 if unknown.
-	Score(m *Member, q *Query, serviceLatency, slowdown float64, state State, now int64) (score float64, room bool)
+	Score(m *Member, q *Query, serviceLatency, slowdown float64, state State, now int64) (score float64, hasCapacity bool)
 }
 
 // LowestScore is a policy that selects the member with the lowest score among all
@@ -111,9 +111,9 @@
 		s.trace.add(m, state, 0, true, s.now)
 		return false
 	}
-	score, room := s.policy.scorer.Score(m, s.query, s.view.stats.Latency(), s.view.stats.slowdown.get(), state, s.now)
-	s.trace.add(m, state, score, room, s.now)
-	if !room {
+	score, hasCapacity := s.policy.scorer.Score(m, s.query, s.view.stats.Latency(), s.view.stats.slowdown.get(), state, s.now)
+	s.trace.add(m, state, score, hasCapacity, s.now)
+	if !hasCapacity {
 		if s.best == NoMember {
 			s.best = AllBusy
 		}
--- a/entry/route/policy.go
+++ b/entry/route/policy.go
@@ -67,7 +67,7 @@
 // Omitted returns how many candidates were considered but not recorded.
 func (t *Trace) Omitted() int { return t.omitted }
 
-func (t *Trace) add(m *Member, state State, score float64, room bool, now int64) {
+func (t *Trace) add(m *Member, state State, score float64, hasCapacity bool, now int64) {
 	if t == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 	reported, reportedAt := m.load.Reported()
 	t.all[t.n] = Candidate{
 		ID: m.instance.ID(), State: state, InFlight: m.load.InFlight(),
-		Slowdown: m.load.slowdown.get(), Reported: reported, ReportAge: ageOf(reportedAt, now), Latency: m.load.Latency(), LatencyAge: ageOf(m.load.serviceAt.Load(), now), Busy: !room, Score: score,
+		Slowdown: m.load.slowdown.get(), Reported: reported, ReportAge: ageOf(reportedAt, now), Latency: m.load.Latency(), LatencyAge: ageOf(m.load.serviceAt.Load(), now), Busy: !hasCapacity, Score: score,
 	}
 	t.n++
 }
--- a/entry/route/query.go
+++ b/entry/route/query.go
@@ -31,7 +31,8 @@
 }
 
 // WithSoftDeadline returns the query with the time by which the response should
-// arrive, as set by the `aim` of the rule. A later response is still sent.
+// arrive, as set by the `aim` of the rule. Requests that miss it are served last
+// and may be shed.
 func (q Query) WithSoftDeadline(at time.Time) Query {
 	q.softDeadline = at.UnixNano()
 	return q
--- a/entry/route/route_test.go
+++ b/entry/route/route_test.go
@@ -172,7 +172,7 @@
 	must.True(t, f.members[0].Load().ReportsIgnored())
 }
 
-func TestDecisionNamesItsCandidates(t *testing.T) {
+func TestDecisionListsItsCandidates(t *testing.T) {
 	f := newFixture(4, route.NewAdaptive())
 	f.change(3, instance.WithDraining(true))
 	first, err := f.offer(query())
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestChoosingAllocatesNothing(t *testing.T) {
+func TestSelectionAllocatesNothing(t *testing.T) {
 	for _, name := range contract.PolicyNames() {
 		for _, n := range []int{10, 1000} {
 			f := newFixture(n, route.ByName(name))
--- a/entry/route/softdeadline.go
+++ b/entry/route/softdeadline.go
@@ -88,7 +88,8 @@
 }
 
 // unserviceable returns the requests to shed: those that cannot meet their
-// deadline, and late ones beyond maxLate.
+// deadline, and the late ones beyond maxLate with the lowest priority and the
+// earliest soft deadline.
 func (q *softDeadlineQueue) unserviceable(now int64, responseTime float64, maxLate int) []*Waiter {
 	var shed, late []*Waiter
 	for _, w := range q.all {
--- a/entry/route/ticket.go
+++ b/entry/route/ticket.go
@@ -11,7 +11,7 @@
 type Report struct {
 	Latency        time.Duration // from dispatch to the first byte of the response
 	Failed         bool          // the instance returned an error or no response
-	Unreachable    bool          // the connection broke, timed out or could not be opened
+	Unreachable    bool          // the instance cannot be reached, or another one uses its address
 	Refused        bool          // the instance rejected the request without starting it
 	HedgeCancelled bool          // cancelled because another instance responded first
 	// ReportedLoad is the load that the response carried, valid if HasReportedLoad.
--- a/entry/route/workclock.go
+++ b/entry/route/workclock.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// slowdownTrust is how long a reported slowdown is assumed to hold. Instances on
+// slowdownTrust is how long a reported slowdown is assumed to hold, in
+// nanoseconds. Instances on
 // shared hosts change speed several times a second.
 const slowdownTrust = float64(2 * slowdownHalfLife)
 
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -13,7 +13,7 @@
 //	pool := upstream.NewPool(upstream.WithMaxLinks(16))
 //	go pool.Run(ctx)
 //	exchange, err := pool.Send(ctx, address, request)
-//	io.Copy(w, exchange.Body())
+//	io.Copy(w, exchange)
 //	exchange.Close()
 package upstream
 
@@ -81,9 +81,9 @@
 }
 
 func dialer(silent time.Duration) Dial {
-	bounds := link.BodyTimeouts
-	bounds.Silent = silent
-	d := link.Dialer(bounds)
+	timeouts := link.BodyTimeouts
+	timeouts.Silent = silent
+	d := link.Dialer(timeouts)
 	return func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 }
 
--- a/entry/upstream/pool_test.go
+++ b/entry/upstream/pool_test.go
@@ -83,7 +83,7 @@
 	return string(data), err
 }
 
-func TestLinkIsReusedOnlyAfterAWholeExchange(t *testing.T) {
+func TestLinkIsReusedOnlyAfterACompleteExchange(t *testing.T) {
 	tests := map[string]struct {
 		response string
 		links    int32
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestUnreadAnswerIsNeverGivenToAnotherRequest(t *testing.T) {
+func TestUnreadResponseIsNeverGivenToAnotherRequest(t *testing.T) {
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
 		for path := readRequest(r); path != ""; path = readRequest(r) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(path), path)
@@ -147,7 +147,7 @@
 	must.Eq(t, 1, open)
 }
 
-func TestLateAnswerIsNotGivenToTheNextRequest(t *testing.T) {
+func TestLateResponseIsNotGivenToTheNextRequest(t *testing.T) {
 	next := make(chan struct{})
 	i := serve(t, func(n int, conn *net.TCPConn, r *bufio.Reader) {
 		readRequest(r)
@@ -169,7 +169,7 @@
 	must.Eq(t, "right", got)
 }
 
-func TestFailureSaysWhetherAByteWasWritten(t *testing.T) {
+func TestFailureReportsWhetherAByteWasWritten(t *testing.T) {
 	reset := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
 		readRequest(r)
 		_ = conn.SetLinger(0)
@@ -255,7 +255,7 @@
 	must.Eq(t, upstream.Full, failureOf(t, err).Cause())
 }
 
-func TestEarlyAnswerEndsTheUpload(t *testing.T) {
+func TestEarlyResponseEndsTheUpload(t *testing.T) {
 	i := serve(t, func(_ int, conn *net.TCPConn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		write(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno")
@@ -276,7 +276,7 @@
 	must.Eq(t, 0, open)
 }
 
-func TestCutBodyCutsTheRequest(t *testing.T) {
+func TestIncompleteBodyAbortsTheRequest(t *testing.T) {
 	readErr := make(chan error, 1)
 	i := serve(t, func(_ int, _ *net.TCPConn, r *bufio.Reader) {
 		req, _ := http.ReadRequest(r)
@@ -310,7 +310,7 @@
 	must.NoError(t, err)
 }
 
-func TestSilentLinkIsNoticedAndItsSiblingsAreRetired(t *testing.T) {
+func TestSilentLinkIsDetectedAndItsSiblingsAreRetired(t *testing.T) {
 	conns := make(chan *net.TCPConn, 10)
 	i := serve(t, func(n int, conn *net.TCPConn, r *bufio.Reader) {
 		conns <- conn
