--- a/entry/route/shed.go
+++ b/entry/route/shed.go
@@ -11,12 +11,12 @@
 	fullLoad   = 2.0 // requests per slot at an instance at its limit, by which the latency is multiplied
 )
 
-// checkQueue returns a problem if the queue is full or the request cannot meet its
-// deadline.
+// checkQueue returns a problem if the queue limit for the request's priority is
+// reached or the request cannot meet its deadline.
 func (d *Dispatcher) checkQueue(q *Query, view *View, now int64) error {
 	waiting := d.queue.len()
 	if waiting >= d.queueLimit(q) {
-		return outcome.New(outcome.NotRun, outcome.Overload, "the queue of "+d.service+" at this host is full")
+		return outcome.New(outcome.NotRun, outcome.Overload, "the queue limit of "+d.service+" at this host is reached")
 	}
 	if q.deadline == 0 {
 		return nil
--- a/entry/upstream/exchange.go
+++ b/entry/upstream/exchange.go
@@ -17,7 +17,7 @@
 	maxMismatchedBytes  = 1 << 20  // of a discarded response to another request
 	maxInlineBytes      = 16 << 10 // larger bodies are written while the response is awaited
 	unlimitedIdle       = time.Duration(math.MaxInt64)
-	retirementMargin    = time.Second // links opened this long after a silent one are retired with it
+	retirementMargin    = time.Second // links opened up to this long after a silent one are retired with it
 )
 
 var (
