--- a/bench/call.go
+++ b/bench/call.go
@@ -58,9 +58,9 @@
 	}
 	note := fmt.Sprintf("%d requests, told %v", total.Sent, total.Outcomes)
 	emit(figure.AtLeast("call", "generatedCases", float64(total.Sent), "requests", callCasesBound))
-	emit(figure.AtMost("call", "executedTwice", float64(total.ExecutedTwice), "keys", 0).With(note))
-	emit(figure.AtMost("call", "notRunButRan", float64(total.NotRunButRan), "requests", 0).With(note))
-	emit(figure.AtMost("call", "wrongAnswers", float64(total.WrongAnswers), "requests", 0).With(note))
+	emit(figure.AtMost("call", "executedTwice", float64(total.ExecutedTwice), "keys", 0).WithNote(note))
+	emit(figure.AtMost("call", "notRunButRan", float64(total.NotRunButRan), "requests", 0).WithNote(note))
+	emit(figure.AtMost("call", "wrongAnswers", float64(total.WrongAnswers), "requests", 0).WithNote(note))
 	return nil
 }
 
@@ -83,7 +83,7 @@
 		return err
 	}
 	note := fmt.Sprintf("resent %d times over %d hosts; %d of %d innocent requests had no answer", poisonResends, poisonHosts, result.Innocent, result.Others)
-	emit(figure.AtMost("call", "poisonInstancesLost", float64(result.Lost), "instances", poisonLostBound).With(note))
+	emit(figure.AtMost("call", "poisonInstancesLost", float64(result.Lost), "instances", poisonLostBound).WithNote(note))
 	return nil
 }
 
@@ -100,7 +100,7 @@
 		return errors.Errorf("silent links: %v, %v", waitErr, uploadErr)
 	}
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	emit(figure.AtMost("call", "silentLinkNoticeMs", ms(waiting), "ms", silentNoticeBoundMs).With("while an answer is awaited"))
-	emit(figure.AtMost("call", "silentLinkNoticeUploadMs", ms(uploading), "ms", silentNoticeBoundMs).With("during an upload"))
+	emit(figure.AtMost("call", "silentLinkNoticeMs", ms(waiting), "ms", silentNoticeBoundMs).WithNote("while an answer is awaited"))
+	emit(figure.AtMost("call", "silentLinkNoticeUploadMs", ms(uploading), "ms", silentNoticeBoundMs).WithNote("during an upload"))
 	return nil
 }
--- a/bench/callload.go
+++ b/bench/callload.go
@@ -151,7 +151,7 @@
 	}
 	note := fmt.Sprintf("direct p50 %.3f p99 %.3f ms, through an entry host p50 %.3f p99 %.3f ms, %d requests",
 		quantileMs(without, 50), quantileMs(without, 99), quantileMs(with, 50), quantileMs(with, 99), with.TotalCount())
-	emit(figure.AtMost("call", "addedLatencyP99Ms", quantileMs(with, 99)-quantileMs(without, 99), "ms", addedBoundMs).With(note))
+	emit(figure.AtMost("call", "addedLatencyP99Ms", quantileMs(with, 99)-quantileMs(without, 99), "ms", addedBoundMs).WithNote(note))
 	return nil
 }
 
@@ -167,8 +167,8 @@
 		return err
 	}
 	note := fmt.Sprintf("%d claims by 3 control hosts on one disk", with.TotalCount())
-	emit(figure.Plain("call", "claimAddsP50Ms", quantileMs(with, 50)-quantileMs(without, 50), "ms").With(note))
-	emit(figure.Plain("call", "claimAddsP99Ms", quantileMs(with, 99)-quantileMs(without, 99), "ms").With(note))
+	emit(figure.Plain("call", "claimAddsP50Ms", quantileMs(with, 50)-quantileMs(without, 50), "ms").WithNote(note))
+	emit(figure.Plain("call", "claimAddsP99Ms", quantileMs(with, 99)-quantileMs(without, 99), "ms").WithNote(note))
 	return nil
 }
 
@@ -224,7 +224,7 @@
 		return err
 	}
 	n := float64(times.TotalCount())
-	emit(figure.Plain("call", fmt.Sprintf("requestsPerSecond%dThreads", threads), n/rateTime.Seconds(), "1/s").With("callers and instance on the same machine"))
+	emit(figure.Plain("call", fmt.Sprintf("requestsPerSecond%dThreads", threads), n/rateTime.Seconds(), "1/s").WithNote("callers and instance on the same machine"))
 	emit(figure.Plain("call", fmt.Sprintf("allocatedBytesPerRequest%dThreads", threads), (after-allocated)/n, "B"))
 	return nil
 }
--- a/bench/callstop.go
+++ b/bench/callstop.go
@@ -68,7 +68,7 @@
 	var summary caller.Summary
 	group.Go(func() {
 		summary = caller.Run(context.Background(), caller.Config{
-			EntryAddresses: c.Platforms(), Service: "lookup", Zone: "a", Method: http.MethodPost, Path: "/x", BodyBytes: 64, Rate: stopRate, Duration: stopLoad,
+			EntryAddresses: c.PlatformAddresses(), Service: "lookup", Zone: "a", Method: http.MethodPost, Path: "/x", BodyBytes: 64, Rate: stopRate, Duration: stopLoad,
 		})
 	})
 	uploadErr := uploadThroughStop(c)
@@ -83,7 +83,7 @@
 		cut++
 		note += "; upload: " + uploadErr.Error()
 	}
-	emit(figure.AtMost("call", "cutByPlannedStop", float64(cut), "requests", 0).With(note))
+	emit(figure.AtMost("call", "cutByPlannedStop", float64(cut), "requests", 0).WithNote(note))
 	return nil
 }
 
--- a/bench/capacity/model.go
+++ b/bench/capacity/model.go
@@ -53,9 +53,9 @@
 	BytesPerS       float64
 	CorePercent     float64
 	MemoryMB        float64
-	From            string // figures that it was worked out from
+	Sources         string // figures that it was worked out from
 	Note            string // what would carry it, where it is over the budget
-	Data            bool   // grows with calls, so that the control budget does not bind it
+	DataPlane       bool   // grows with calls, so that the control budget does not bind it
 }
 
 // none marks a cost that does not apply or is too small to show.
@@ -85,7 +85,7 @@
 func total(rows []Row) Row {
 	sum := Row{Role: rows[0].Role, Mechanism: "**all of it but the work itself**"}
 	for _, r := range rows {
-		if !r.Data {
+		if !r.DataPlane {
 			sum.BytesPerS += known(r.BytesPerS)
 			sum.CorePercent += known(r.CorePercent)
 			sum.MemoryMB += known(r.MemoryMB)
@@ -111,41 +111,41 @@
 	callsPerHost := callsPerS / hosts
 	return []Row{
 		{
-			Role: entry, Mechanism: "announcements heard, one a second each", From: "bytesPerSecondPer1000Instances, corePercentPer1000Instances",
+			Role: entry, Mechanism: "announcements heard, one a second each", Sources: "bytesPerSecondPer1000Instances, corePercentPer1000Instances",
 			BytesPerS: m.value("bytesPerSecondPer1000Instances") / 1000 * todayHosts * heard, CorePercent: m.value("corePercentPer1000Instances") / 1000 * todayHosts * heard, MemoryMB: none,
 			Note: "leases that grow with the instances that a host hears",
 		},
 		{
-			Role: entry, Mechanism: "membership of hosts and instances (gossip)", From: "the bound of what a host sends, and as much received; membershipCoreNsPerSecondPerInstance, membershipHeapBytesPerInstance",
+			Role: entry, Mechanism: "membership of hosts and instances (gossip)", Sources: "the bound of what a host sends, and as much received; membershipCoreNsPerSecondPerInstance, membershipHeapBytesPerInstance",
 			BytesPerS: 2 * gossip.DefaultRate, CorePercent: m.at("membershipCoreNsPerSecondPerInstance", instances) / perSecond * percent,
 			MemoryMB: m.at("membershipHeapBytesPerInstance", instances) / megabyte, Note: "a heap of lease ends instead of a walk over all instances",
 		},
 		{
-			Role: entry, Mechanism: "views of instances", From: "registryBytesPerInstance",
+			Role: entry, Mechanism: "views of instances", Sources: "registryBytesPerInstance",
 			BytesPerS: none, CorePercent: none, MemoryMB: m.at("registryBytesPerInstance", instances) / megabyte,
 		},
 		{
-			Role: entry, Mechanism: "rules: changes of a day, line differences", From: "bytesPerSecondPer100000Changes, corePercentPer100000Changes, rulesBytesPerLine",
+			Role: entry, Mechanism: "rules: changes of a day, line differences", Sources: "bytesPerSecondPer100000Changes, corePercentPer100000Changes, rulesBytesPerLine",
 			BytesPerS: m.value("bytesPerSecondPer100000Changes") / 100_000 * changesPerDay, CorePercent: m.value("corePercentPer100000Changes") / 100_000 * changesPerDay,
 			MemoryMB: m.at("rulesBytesPerLine", services*linesPerService) / megabyte,
 		},
 		{
-			Role: entry, Mechanism: "reports to every control host", From: "reportBytesPerService",
+			Role: entry, Mechanism: "reports to every control host", Sources: "reportBytesPerService",
 			BytesPerS: m.at("reportBytesPerService", served) * controlHosts / watchInterval, CorePercent: none, MemoryMB: none,
 		},
 		{
-			Role: entry, Mechanism: "scrapes of metrics", From: "scrapeBytesPerInstance",
+			Role: entry, Mechanism: "scrapes of metrics", Sources: "scrapeBytesPerInstance",
 			BytesPerS: m.at("scrapeBytesPerInstance", instances) / scrapeInterval, CorePercent: none, MemoryMB: none,
 			Note: "series of those instances only whose service the host serves",
 		},
 		{
-			Role: entry, Mechanism: "choosing, a call among the instances of a service", From: "chooseNsPerInstance",
-			BytesPerS: none, CorePercent: m.at("chooseNsPerInstance", instances/services) * callsPerHost / perSecond * percent, MemoryMB: none, Data: true,
+			Role: entry, Mechanism: "choosing, a call among the instances of a service", Sources: "chooseNsPerInstance",
+			BytesPerS: none, CorePercent: m.at("chooseNsPerInstance", instances/services) * callsPerHost / perSecond * percent, MemoryMB: none, DataPlane: true,
 		},
 		{
-			Role: entry, Mechanism: "decision log, a line a call", From: "decisionBytesPerCandidate, decisionCoreNsPerCandidate",
+			Role: entry, Mechanism: "decision log, a line a call", Sources: "decisionBytesPerCandidate, decisionCoreNsPerCandidate",
 			BytesPerS: m.at("decisionBytesPerCandidate", instances/services) * callsPerHost, CorePercent: m.at("decisionCoreNsPerCandidate", instances/services) * callsPerHost / perSecond * percent,
-			MemoryMB: none, Data: true, Note: "written to the host's own log, not to the network",
+			MemoryMB: none, DataPlane: true, Note: "written to the host's own log, not to the network",
 		},
 	}
 }
@@ -156,17 +156,17 @@
 	claims := callsPerS * onceShare
 	return []Row{
 		{
-			Role: control, Mechanism: "polls and reports of entry hosts", From: "reportBytesPerService, controlHostCorePercent",
+			Role: control, Mechanism: "polls and reports of entry hosts", Sources: "reportBytesPerService, controlHostCorePercent",
 			BytesPerS: m.at("reportBytesPerService", served) * hosts / watchInterval, CorePercent: m.value("controlHostCorePercent") / todayHosts * hosts, MemoryMB: none,
 			Note: "reports through a tree of a few entry hosts for each zone; longer polls",
 		},
 		{
-			Role: control, Mechanism: "the process, with 1,000 versions and 100,000 live claims", From: "controlHostResidentMB",
+			Role: control, Mechanism: "the process, with 1,000 versions and 100,000 live claims", Sources: "controlHostResidentMB",
 			BytesPerS: none, CorePercent: none, MemoryMB: m.value("controlHostResidentMB"),
 		},
 		{
-			Role: control, Mechanism: "claims: one group, held for a day", From: "claimBytesPerClaim, claimApplyNsPerClaim",
-			BytesPerS: none, CorePercent: m.each("claimApplyNsPerClaim", claims) / perSecond * percent, MemoryMB: m.each("claimBytesPerClaim", claims*claimWindowS) / megabyte, Data: true,
+			Role: control, Mechanism: "claims: one group, held for a day", Sources: "claimBytesPerClaim, claimApplyNsPerClaim",
+			BytesPerS: none, CorePercent: m.each("claimApplyNsPerClaim", claims) / perSecond * percent, MemoryMB: m.each("claimBytesPerClaim", claims*claimWindowS) / megabyte, DataPlane: true,
 			Note: "many groups, sharded by key, on entry hosts with a disk; completed claims kept on disk; a shorter window",
 		},
 	}
--- a/bench/capacity/table.go
+++ b/bench/capacity/table.go
@@ -25,7 +25,7 @@
 	b.WriteString("| role | mechanism | bytes/s | % of a core | memory MB | worked out from | what would carry it |\n|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", r.Role, r.Mechanism,
-			cell(r.BytesPerS, budgetBytesPerS, r.Data), cell(r.CorePercent, budgetCorePercent, r.Data), cell(r.MemoryMB, budgetMemoryMB, false), r.From, r.Note)
+			cell(r.BytesPerS, budgetBytesPerS, r.DataPlane), cell(r.CorePercent, budgetCorePercent, r.DataPlane), cell(r.MemoryMB, budgetMemoryMB, false), r.Sources, r.Note)
 	}
 	fmt.Fprintf(&b, "| each host | budget | %d | %.1f | %d | | |\n", budgetBytesPerS, budgetCorePercent, budgetMemoryMB)
 	return b.String(), nil
--- a/bench/cluster/cluster.go
+++ b/bench/cluster/cluster.go
@@ -171,8 +171,8 @@
 	return all
 }
 
-// Platforms returns the platform addresses of the entry hosts.
-func (c *Cluster) Platforms() []string {
+// PlatformAddresses returns the platform addresses of the entry hosts.
+func (c *Cluster) PlatformAddresses() []string {
 	var all []string
 	for _, host := range c.Entries {
 		all = append(all, host.Platform)
@@ -222,7 +222,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	args := append([]string{"upstream", "--id", id, "--service", service, "--zone", zone, "--listen", address, "--entries", strings.Join(c.Platforms(), ",")}, extra...)
+	args := append([]string{"upstream", "--id", id, "--service", service, "--zone", zone, "--listen", address, "--entries", strings.Join(c.PlatformAddresses(), ",")}, extra...)
 	if c.keys.upstreams != "" {
 		args = append(args, "--key-file", c.keys.upstreams)
 	}
--- a/bench/control.go
+++ b/bench/control.go
@@ -84,10 +84,10 @@
 	group.Wait()
 	lost := tally.broken[schedule.NoLoss] + tally.broken[schedule.SameEntries]
 	doubled := tally.broken[schedule.OneHolder]
-	emit(figure.AtLeast("control", "schedules", float64(tally.runs), "schedules", scheduleCount).With(tally.note()))
+	emit(figure.AtLeast("control", "schedules", float64(tally.runs), "schedules", scheduleCount).WithNote(tally.note()))
 	emit(figure.AtMost("control", "lostAcceptedChanges", float64(lost), "changes", 0))
 	emit(figure.AtMost("control", "revertedVersions", float64(tally.broken[schedule.MonotonicReads]), "versions", 0))
 	emit(figure.AtMost("control", "doubleClaims", float64(doubled), "claims", 0))
-	emit(figure.AtMost("control", "brokenPromises", float64(tally.all()), "violations", 0).With("all promises of the schedules, those above among them"))
+	emit(figure.AtMost("control", "brokenPromises", float64(tally.all()), "violations", 0).WithNote("all promises of the schedules, those above among them"))
 	return nil
 }
--- a/bench/controlclaims.go
+++ b/bench/controlclaims.go
@@ -96,10 +96,10 @@
 	alone := loadClaims(g, 1, claimDuration)
 	together := loadClaims(g, claimClients, claimDuration)
 	note := fmt.Sprintf("3 processes on one machine, synced files, %d clients, %d granted, %d failed", claimClients, together.granted, together.failed)
-	emit(figure.Plain("control", "claimsPerSecond", together.perS, "1/s").With(note))
+	emit(figure.Plain("control", "claimsPerSecond", together.perS, "1/s").WithNote(note))
 	emit(figure.Plain("control", "claimP50Ms", together.p50Ms, "ms"))
 	emit(figure.Plain("control", "claimP99Ms", together.p99Ms, "ms"))
-	emit(figure.Plain("control", "claimsPerSecondOneSyncEach", alone.perS, "1/s").With("one client: each claim has its syncs for itself"))
+	emit(figure.Plain("control", "claimsPerSecondOneSyncEach", alone.perS, "1/s").WithNote("one client: each claim has its syncs for itself"))
 	emit(figure.Plain("control", "claimP99MsOneSyncEach", alone.p99Ms, "ms"))
 	emit(figure.AtLeast("control", "claimsPerSecondToOneSyncEach", together.perS/alone.perS, "ratio", 1))
 	return nil
--- a/bench/controlkill.go
+++ b/bench/controlkill.go
@@ -129,8 +129,8 @@
 		return err
 	}
 	emit(figure.AtMost("control", "leaderLossPauseMs", ms(slices.Max(pauses)), "ms", pauseBoundMs).
-		With(fmt.Sprintf("longest of %d SIGKILLs of the leader under load: %v", killTrials, pauses)))
-	emit(figure.Plain("control", "leaderStopPauseMs", ms(stopped), "ms").With("graceful stop of the leader under load"))
+		WithNote(fmt.Sprintf("longest of %d SIGKILLs of the leader under load: %v", killTrials, pauses)))
+	emit(figure.Plain("control", "leaderStopPauseMs", ms(stopped), "ms").WithNote("graceful stop of the leader under load"))
 	return emitLosses(emit, g, w)
 }
 
@@ -161,7 +161,7 @@
 	}
 	lostChanges := killTrials - len(history.GetVersions())
 	emit(figure.AtMost("control", "lostClaimsAfterKills", float64(lostClaims), "claims", 0).
-		With(fmt.Sprintf("of %d granted before, between and after %d kills", len(w.granted), killTrials)))
+		WithNote(fmt.Sprintf("of %d granted before, between and after %d kills", len(w.granted), killTrials)))
 	emit(figure.AtMost("control", "lostChangesAfterKills", float64(lostChanges), "changes", 0))
 	return nil
 }
--- a/bench/controlrecover.go
+++ b/bench/controlrecover.go
@@ -95,9 +95,9 @@
 		return err
 	}
 	note := fmt.Sprintf("from the start of the process to a current answer with version %d, %d live claims", recoverChanges, recoverClaims)
-	emit(figure.AtMost("control", "recoverMs", ms(one), "ms", recoverBoundMs).With(note))
-	emit(figure.Plain("control", "recoverAllMs", ms(all), "ms").With("all three killed and started at once, an election among them"))
-	emit(figure.AtMost("control", "controlHostResidentMB", resident, "MB", residentBoundMB).With("largest of the three control hosts, with these claims"))
+	emit(figure.AtMost("control", "recoverMs", ms(one), "ms", recoverBoundMs).WithNote(note))
+	emit(figure.Plain("control", "recoverAllMs", ms(all), "ms").WithNote("all three killed and started at once, an election among them"))
+	emit(figure.AtMost("control", "controlHostResidentMB", resident, "MB", residentBoundMB).WithNote("largest of the three control hosts, with these claims"))
 	return nil
 }
 
--- a/bench/controlstate.go
+++ b/bench/controlstate.go
@@ -32,9 +32,9 @@
 		return errors.Wrap(err, "restore")
 	}
 	note := fmt.Sprintf("%d live claims", recoverClaims)
-	emit(figure.Plain("control", "snapshotFreezeMs", ms(froze), "ms").With(note + "; commits wait for this"))
-	emit(figure.Plain("control", "snapshotEncodeMs", ms(encoded), "ms").With(note + "; beside commits"))
-	emit(figure.Plain("control", "snapshotRestoreMs", ms(time.Since(start)), "ms").With(note))
-	emit(figure.Plain("control", "snapshotBytes", float64(len(data)), "bytes").With(note))
+	emit(figure.Plain("control", "snapshotFreezeMs", ms(froze), "ms").WithNote(note + "; commits wait for this"))
+	emit(figure.Plain("control", "snapshotEncodeMs", ms(encoded), "ms").WithNote(note + "; beside commits"))
+	emit(figure.Plain("control", "snapshotRestoreMs", ms(time.Since(start)), "ms").WithNote(note))
+	emit(figure.Plain("control", "snapshotBytes", float64(len(data)), "bytes").WithNote(note))
 	return nil
 }
--- a/bench/decision.go
+++ b/bench/decision.go
@@ -57,7 +57,7 @@
 	}
 	cancel()
 	<-done
-	emit(figure.Plain("see", "decisionLogNs", float64(spent.Nanoseconds())/decisionLines, "ns").With("a line, on the request's path"))
-	emit(figure.Plain("see", "decisionLinesDropped", float64(log.Dropped()), "lines").With(fmt.Sprintf("of %d at %d a second, %d candidates each", decisionLines, decisionRate, usualCount)))
+	emit(figure.Plain("see", "decisionLogNs", float64(spent.Nanoseconds())/decisionLines, "ns").WithNote("a line, on the request's path"))
+	emit(figure.Plain("see", "decisionLinesDropped", float64(log.Dropped()), "lines").WithNote(fmt.Sprintf("of %d at %d a second, %d candidates each", decisionLines, decisionRate, usualCount)))
 	return nil
 }
--- a/bench/demo/workload.go
+++ b/bench/demo/workload.go
@@ -38,7 +38,7 @@
 	for n, w := range workloads {
 		group.Go(func() {
 			summaries[n] = caller.Run(ctx, caller.Config{
-				EntryAddresses: d.cluster.Platforms(), Service: w.service, Zone: zones[n%len(zones)], Method: w.method,
+				EntryAddresses: d.cluster.PlatformAddresses(), Service: w.service, Zone: zones[n%len(zones)], Method: w.method,
 				Path: w.path, Rate: w.rate, Duration: d.cli.Duration, BodyBytes: w.body, IdempotencyHeader: w.once,
 			})
 		})
--- a/bench/distribution.go
+++ b/bench/distribution.go
@@ -72,11 +72,11 @@
 		return err
 	}
 	note := fmt.Sprintf("%d entry processes, %d instances, %d changes a day, announcements included; largest of the hosts", entryHosts, todayInstances, dayChanges)
-	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", r.BytesPerSecond, "bytes/s", controlBytes).With(note))
-	d.emit(figure.AtMost("control", "controlCorePercentPerHost", r.CorePercent, "%", controlCore).With(fmt.Sprintf("%s; the mean is %.2f", note, r.MeanCorePercent)))
-	d.emit(figure.AtMost("control", "controlResidentMB", r.ResidentMB, "MB", controlResident).With(note))
-	d.emit(figure.Plain("control", "controlHostCorePercent", r.ControlCorePercent, "%").With("largest of the control processes"))
-	d.emit(figure.AtMost("control", "controlHostResidentMB", r.ControlResidentMB, "MB", controlResident).With("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlBytesPerSecondPerHost", r.BytesPerSecond, "bytes/s", controlBytes).WithNote(note))
+	d.emit(figure.AtMost("control", "controlCorePercentPerHost", r.CorePercent, "%", controlCore).WithNote(fmt.Sprintf("%s; the mean is %.2f", note, r.MeanCorePercent)))
+	d.emit(figure.AtMost("control", "controlResidentMB", r.ResidentMB, "MB", controlResident).WithNote(note))
+	d.emit(figure.Plain("control", "controlHostCorePercent", r.ControlCorePercent, "%").WithNote("largest of the control processes"))
+	d.emit(figure.AtMost("control", "controlHostResidentMB", r.ControlResidentMB, "MB", controlResident).WithNote("largest of the control processes"))
 	return nil
 }
 
@@ -108,7 +108,7 @@
 		}
 	}
 	slices.Sort(took)
-	d.emit(figure.AtMost("control", "drainSeenMs", took[len(took)-1], "ms", drainSeenBoundMs).With(fmt.Sprintf("worst of %d, seen by all %d entry processes; median %.0f", drainTrials, entryHosts, took[len(took)/2])))
+	d.emit(figure.AtMost("control", "drainSeenMs", took[len(took)-1], "ms", drainSeenBoundMs).WithNote(fmt.Sprintf("worst of %d, seen by all %d entry processes; median %.0f", drainTrials, entryHosts, took[len(took)/2])))
 	return nil
 }
 
@@ -169,11 +169,11 @@
 	var took []float64
 	slowest := 0.0
 	for _, one := range accepted {
-		took = append(took, max(0, milliseconds(inForce[one.Version].Sub(one.At))))
+		took = append(took, max(0, milliseconds(inForce[one.Version].Sub(one.AcceptedAt))))
 		slowest = max(slowest, milliseconds(inForce[one.Version].Sub(one.SentAt)))
 	}
 	slices.Sort(took)
 	note = fmt.Sprintf("%s; from the answer until the last of %d entry processes has it, %d changes; worst %.1f, worst from the first send %.1f", note, entryHosts, len(took), took[len(took)-1], slowest)
-	d.emit(figure.AtMost("control", name, took[(len(took)*99-1)/100], "ms", inForceBoundMs).With(note))
+	d.emit(figure.AtMost("control", name, took[(len(took)*99-1)/100], "ms", inForceBoundMs).WithNote(note))
 	return nil
 }
--- a/bench/figure/figure.go
+++ b/bench/figure/figure.go
@@ -59,8 +59,8 @@
 	return f
 }
 
-// With returns the figure with a note.
-func (f Figure) With(note string) Figure {
+// WithNote returns the figure with a note.
+func (f Figure) WithNote(note string) Figure {
 	f.Note = note
 	return f
 }
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -103,9 +103,9 @@
 
 // Accepted is one accepted version.
 type Accepted struct {
-	Version uint64
-	SentAt  time.Time
-	At      time.Time // when the answer came
+	Version    uint64
+	SentAt     time.Time
+	AcceptedAt time.Time // when the answer came
 }
 
 // Submit submits a rules file that differs from the last one in one line. It
@@ -126,7 +126,7 @@
 		case !response.GetAccepted():
 			return accepted, errors.Errorf("submission refused: %s", response.GetRefusal())
 		}
-		accepted.At, accepted.Version = time.Now(), response.GetVersion().GetNumber()
+		accepted.AcceptedAt, accepted.Version = time.Now(), response.GetVersion().GetNumber()
 		f.version = accepted.Version
 		return accepted, nil
 	}
--- a/bench/fleet/usage.go
+++ b/bench/fleet/usage.go
@@ -16,16 +16,16 @@
 
 // Usage is what each entry host and each control host spent until now.
 type Usage struct {
-	At         time.Time
-	Bytes      []float64 // of the protocols, sent and received, each entry host
-	Announcing float64   // bytes of all announcements
-	Ticks      []float64 // processor time of each entry host
-	ResidentMB []float64
-	Control    Spent
+	At                time.Time
+	Bytes             []float64 // of the protocols, sent and received, each entry host
+	AnnouncementBytes float64   // bytes of all announcements
+	Ticks             []float64 // processor time of each entry host
+	ResidentMB        []float64
+	Control           ControlUsage
 }
 
-// Spent sums up the control hosts.
-type Spent struct {
+// ControlUsage sums up the control hosts.
+type ControlUsage struct {
 	Ticks      []float64
 	ResidentMB []float64
 }
@@ -51,7 +51,7 @@
 func (f *Fleet) Usage() Usage {
 	u := Usage{
 		At: time.Now(), Bytes: make([]float64, len(f.Entries)), Ticks: make([]float64, len(f.Entries)),
-		ResidentMB: make([]float64, len(f.Entries)), Announcing: float64(f.instances.bytes.Load()),
+		ResidentMB: make([]float64, len(f.Entries)), AnnouncementBytes: float64(f.instances.bytes.Load()),
 	}
 	f.each(func(n int, host *cluster.Host) {
 		for _, name := range protocolBytes {
@@ -69,7 +69,7 @@
 // Since returns the rates between two readings.
 func (u Usage) Since(before Usage) Rate {
 	seconds := u.At.Sub(before.At).Seconds()
-	announcing := (u.Announcing - before.Announcing) / seconds / float64(len(u.Bytes))
+	announcing := (u.AnnouncementBytes - before.AnnouncementBytes) / seconds / float64(len(u.Bytes))
 	r := Rate{}
 	for n := range u.Bytes {
 		bytes := (u.Bytes[n]-before.Bytes[n])/seconds + announcing
--- a/bench/membershipslopes.go
+++ b/bench/membershipslopes.go
@@ -41,8 +41,8 @@
 			worst = max(worst, g.Drain(n))
 		}
 		name := fmt.Sprintf("Hosts%dInstances%d", size.hosts, size.instances)
-		emit(figure.AtMost("control", "gossipBytesPerSecond"+name, bytes, "bytes/s", controlBytes).With("virtual time, sent and received, 1% loss, no changes"))
-		emit(figure.AtMost("control", "gossipDrainSeenMs"+name, milliseconds(worst), "ms", drainSeenBoundMs).With(fmt.Sprintf("virtual time, 1%% loss, worst of %d", membershipDrains)))
+		emit(figure.AtMost("control", "gossipBytesPerSecond"+name, bytes, "bytes/s", controlBytes).WithNote("virtual time, sent and received, 1% loss, no changes"))
+		emit(figure.AtMost("control", "gossipDrainSeenMs"+name, milliseconds(worst), "ms", drainSeenBoundMs).WithNote(fmt.Sprintf("virtual time, 1%% loss, worst of %d", membershipDrains)))
 	}
 	return nil
 }
--- a/bench/queue/queue.go
+++ b/bench/queue/queue.go
@@ -22,8 +22,8 @@
 	Slots int
 	Mean  time.Duration // of a request's service
 	Sigma float64       // of the lognormal service time
-	// Long is the share of requests that take LongFactor times as long.
-	Long       float64
+	// LongShare is the share of requests that take LongFactor times as long.
+	LongShare  float64
 	LongFactor float64
 	// Rate returns the arrivals a second at a time since the start.
 	Rate func(at time.Duration) float64
@@ -62,8 +62,8 @@
 // Now returns the virtual time since the start.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Present returns the requests that wait or are in service.
-func (q *Queue) Present() int { return len(q.waiting) + len(q.running) }
+// Pending returns the requests that wait or are in service.
+func (q *Queue) Pending() int { return len(q.waiting) + len(q.running) }
 
 func (q *Queue) gap() time.Duration {
 	return time.Duration(q.random.ExpFloat64() / q.cfg.MaxRate * float64(time.Second))
@@ -72,12 +72,12 @@
 // Sample advances the time by an interval and returns what happened in it.
 func (q *Queue) Sample(interval time.Duration) backlog.Sample {
 	until := q.now + interval
-	q.floor, q.arrivals, q.completions = q.Present(), 0, 0
+	q.floor, q.arrivals, q.completions = q.Pending(), 0, 0
 	for q.step(until) {
 	}
 	q.now = until
 	return backlog.Sample{
-		At: start.Add(q.now), Pending: q.Present(), MinPending: q.floor, Arrivals: q.arrivals,
+		At: start.Add(q.now), Pending: q.Pending(), MinPending: q.floor, Arrivals: q.arrivals,
 		Completions: q.completions, OldestAge: q.oldest(), ResponseP99: q.quantile(),
 	}
 }
@@ -106,7 +106,7 @@
 	q.now = done.at
 	q.completions++
 	q.answers = append(q.answers, done.at-done.arrived)
-	q.floor = min(q.floor, q.Present())
+	q.floor = min(q.floor, q.Pending())
 	q.fill()
 }
 
@@ -120,7 +120,7 @@
 func (q *Queue) service() time.Duration {
 	s := q.cfg.Sigma
 	d := float64(q.cfg.Mean) * math.Exp(s*q.random.NormFloat64()-s*s/2)
-	if q.cfg.Long > 0 && q.random.Float64() < q.cfg.Long {
+	if q.cfg.LongShare > 0 && q.random.Float64() < q.cfg.LongShare {
 		d *= q.cfg.LongFactor
 	}
 	if q.cfg.Slowdown != nil {
--- a/bench/route.go
+++ b/bench/route.go
@@ -112,7 +112,7 @@
 	byPolicy := map[string]map[float64]*task{}
 	for _, l := range loads {
 		s := virtual.Scenario{Load: l.load, Duration: routeDuration}
-		central[l.load] = t.add(s, routeSeeds, virtual.Central)
+		central[l.load] = t.add(s, routeSeeds, virtual.RunCentralQueue)
 		for _, name := range contract.PolicyNames() {
 			if byPolicy[name] == nil {
 				byPolicy[name] = map[float64]*task{}
@@ -135,7 +135,7 @@
 		if l.load == 0.85 {
 			bound = 0.5
 		}
-		emit(boundedTo("p99RatioToPowerOfTwo"+percent(l.load), adaptive.P(0.99)/two.P(0.99), "ratio", bound))
+		emit(boundedTo("p99RatioToPowerOfTwo"+percent(l.load), adaptive.Quantile(0.99)/two.Quantile(0.99), "ratio", bound))
 	}
 	return nil
 }
@@ -143,8 +143,8 @@
 // emitRatios emits p99 and p999 over the central queue's.
 func emitRatios(emit func(figure.Figure), prefix, suffix string, r, central *virtual.Result, bound float64) {
 	note := func(q float64) string {
-		return fmt.Sprintf("%.1f ms against %.1f ms", r.P(q), central.P(q))
+		return fmt.Sprintf("%.1f ms against %.1f ms", r.Quantile(q), central.Quantile(q))
 	}
-	emit(boundedTo(prefix+"99RatioToCentralQueue"+suffix, r.P(0.99)/central.P(0.99), "ratio", bound).With(note(0.99)))
-	emit(figure.Plain(routeArea, prefix+"999RatioToCentralQueue"+suffix, r.P(0.999)/central.P(0.999), "ratio").With(note(0.999)))
+	emit(boundedTo(prefix+"99RatioToCentralQueue"+suffix, r.Quantile(0.99)/central.Quantile(0.99), "ratio", bound).WithNote(note(0.99)))
+	emit(figure.Plain(routeArea, prefix+"999RatioToCentralQueue"+suffix, r.Quantile(0.999)/central.Quantile(0.999), "ratio").WithNote(note(0.999)))
 }
--- a/bench/route/virtual/central.go
+++ b/bench/route/virtual/central.go
@@ -1,10 +1,10 @@
 package virtual
 
-// Central runs the scenario's arrivals through one shared queue with perfect
+// RunCentralQueue runs the scenario's arrivals through one shared queue with perfect
 // knowledge: a request takes the free slot that answers first, or the first slot
 // that becomes free. While it waits, it travels.
-func Central(s Scenario) *Result {
-	s = s.Fill()
+func RunCentralQueue(s Scenario) *Result {
+	s = s.WithDefaults()
 	c := &clock{}
 	all := s.upstreams(c)
 	result := newResult(s)
--- a/bench/route/virtual/result.go
+++ b/bench/route/virtual/result.go
@@ -22,7 +22,7 @@
 	Offered  int
 	ProbeNs  float64         // slot time that probes took
 	Sent     []map[int64]int // by instance: requests sent in each 10 ms
-	Waited   float64         // nanoseconds, sum over all requests
+	QueueNs  float64         // nanoseconds, sum over all requests
 }
 
 func newResult(s Scenario) *Result {
@@ -67,8 +67,8 @@
 	r.Sent[instance][now/window]++
 }
 
-// P returns a quantile of the latency of good answers in milliseconds.
-func (r *Result) P(q float64) float64 {
+// Quantile returns a quantile of the latency of good answers in milliseconds.
+func (r *Result) Quantile(q float64) float64 {
 	if len(r.latency) == 0 {
 		return math.NaN()
 	}
@@ -87,10 +87,10 @@
 	return float64(r.InTime) / capacity
 }
 
-// NoticeMs returns how long after a fault it takes until the instance gets half
+// DetectionMs returns how long after a fault it takes until the instance gets half
 // of the requests that it got before or fewer, and no more than that again for
 // a second: the end of the first such window, in milliseconds.
-func (r *Result) NoticeMs(target int, at time.Duration) float64 {
+func (r *Result) DetectionMs(target int, at time.Duration) float64 {
 	first := int64(at) / window
 	before := 0
 	for w := first - noticeWindows; w < first; w++ {
--- a/bench/route/virtual/run.go
+++ b/bench/route/virtual/run.go
@@ -58,7 +58,7 @@
 
 // Run runs the scenario with its policy.
 func Run(s Scenario) *Result {
-	s = s.Fill()
+	s = s.WithDefaults()
 	f := newFleet(s)
 	for _, one := range s.arrivals() {
 		f.clock.at(one.at, func() { f.arrive(one) })
@@ -185,7 +185,7 @@
 	}
 	n := f.index(h, t.Instance().ID())
 	f.result.sent(n, f.clock.now)
-	f.result.Waited += float64(t.Waited())
+	f.result.QueueNs += float64(t.Waited())
 	sentAt := f.clock.now
 	f.clock.after(f.delay(h, n), func() { f.serve(h, n, a, t, sentAt) })
 }
@@ -255,15 +255,15 @@
 		u.change(func() { u.slowdown = fault.Factor })
 	case FailFast:
 		f.upstreams[fault.Target].failFast = true
-	case Lie:
+	case MisreportLoad:
 		f.upstreams[fault.Target].lies, f.upstreams[fault.Target].lie = true, int(fault.Factor)
 	case Drain:
 		f.clock.after(announceDelay, func() { f.announceDraining(fault.Target) })
-	case LoseHost:
+	case CrashHost:
 		f.loseHost(fault.Target)
 	case ColdStart:
 		f.coldStart(fault.Target, fault.Factor)
-	case CutZone:
+	case PartitionZone:
 		f.cut = fault.Target
 	}
 }
--- a/bench/route/virtual/run_test.go
+++ b/bench/route/virtual/run_test.go
@@ -14,20 +14,20 @@
 func TestRunsWithOneSeedAgree(t *testing.T) {
 	s := virtual.Scenario{Seed: 3, Load: 0.8, Active: 2, Duration: 3 * time.Second, Policy: adaptive}
 	one, two := virtual.Run(s), virtual.Run(s)
-	must.Eq(t, one.P(0.999), two.P(0.999))
+	must.Eq(t, one.Quantile(0.999), two.Quantile(0.999))
 	must.Eq(t, one.Offered, two.Offered)
 }
 
 // TestEveryRequestEndsOnce compares what was offered with the central queue's
 // count of the same arrivals.
 func TestEveryRequestEndsOnce(t *testing.T) {
-	for _, kind := range []virtual.FaultKind{virtual.Slow, virtual.FailFast, virtual.Drain, virtual.Lie, virtual.LoseHost, virtual.ColdStart, virtual.CutZone} {
+	for _, kind := range []virtual.FaultKind{virtual.Slow, virtual.FailFast, virtual.Drain, virtual.MisreportLoad, virtual.CrashHost, virtual.ColdStart, virtual.PartitionZone} {
 		s := virtual.Scenario{
 			Load: 0.7, Active: 1, Spread: 3, Duration: 3 * time.Second, Policy: adaptive, Deadline: 300 * time.Millisecond,
 			Faults: []virtual.Fault{{At: 2 * time.Second, Kind: kind, Target: 1, Factor: 5}},
 		}
 		r := virtual.Run(s)
-		must.Eq(t, virtual.Central(s).Offered, r.Offered)
+		must.Eq(t, virtual.RunCentralQueue(s).Offered, r.Offered)
 		must.Eq(t, r.Offered, r.InTime+r.Late+r.Failed+r.Shed)
 	}
 }
--- a/bench/route/virtual/scenario.go
+++ b/bench/route/virtual/scenario.go
@@ -53,14 +53,14 @@
 	Slow FaultKind = iota
 	FailFast
 	Drain
-	Lie
-	LoseHost
-	ColdStart // the instance starts again and is slower by the factor for a while
-	CutZone   // nothing passes between the zone and the other zones
+	MisreportLoad
+	CrashHost
+	ColdStart     // the instance starts again and is slower by the factor for a while
+	PartitionZone // nothing passes between the zone and the other zones
 )
 
-// Fill returns the scenario with defaults in place of zero fields.
-func (s Scenario) Fill() Scenario {
+// WithDefaults returns the scenario with defaults in place of zero fields.
+func (s Scenario) WithDefaults() Scenario {
 	set(&s.Seed, 1)
 	set(&s.Load, 0.85)
 	set(&s.Duration, 20*time.Second)
--- a/bench/route_deployment.go
+++ b/bench/route_deployment.go
@@ -52,7 +52,7 @@
 				ours.Policy = d.adaptive
 				runs = append(runs, deploymentRun{
 					suffix: percent(l.load) + "." + d.name + strconv.Itoa(n), bound: l.bound,
-					central: t.add(s, routeSeeds, virtual.Central), policy: t.add(ours, routeSeeds, virtual.Run),
+					central: t.add(s, routeSeeds, virtual.RunCentralQueue), policy: t.add(ours, routeSeeds, virtual.Run),
 					two: t.add(withPolicy(s, contract.PolicyPowerOfTwo), routeSeeds, virtual.Run),
 				})
 			}
@@ -61,7 +61,7 @@
 	t.run()
 	for _, r := range runs {
 		emitRatios(emit, "p", r.suffix, r.policy.result, r.central.result, r.bound)
-		emit(figure.Plain(routeArea, "p99RatioToPowerOfTwo"+r.suffix, r.policy.result.P(0.99)/r.two.result.P(0.99), "ratio"))
+		emit(figure.Plain(routeArea, "p99RatioToPowerOfTwo"+r.suffix, r.policy.result.Quantile(0.99)/r.two.result.Quantile(0.99), "ratio"))
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 	var runs []run
 	for _, l := range loads[1:] {
 		s := virtual.Scenario{Load: l.load, Duration: routeDuration}
-		central := t.add(s, 2, virtual.Central)
+		central := t.add(s, 2, virtual.RunCentralQueue)
 		for _, active := range []int{1, 2, 3, 4, 8, 29} {
 			for name, policy := range map[string]func() route.Policy{"adaptive": adaptive, "least": route.NewLeastLoaded} {
 				one := s
@@ -92,7 +92,7 @@
 	}
 	t.run()
 	for _, r := range runs {
-		emit(figure.Plain(routeArea, r.name, r.policy.result.P(0.99)/r.central.result.P(0.99), "ratio"))
+		emit(figure.Plain(routeArea, r.name, r.policy.result.Quantile(0.99)/r.central.result.Quantile(0.99), "ratio"))
 	}
 	return nil
 }
--- a/bench/route_fault.go
+++ b/bench/route_fault.go
@@ -33,18 +33,18 @@
 	{"failFast", virtual.Fault{Kind: virtual.FailFast}},
 	{"draining", virtual.Fault{Kind: virtual.Drain}},
 	{"coldStart", virtual.Fault{Kind: virtual.ColdStart, Factor: coldFactor}},
-	{"lowLie", virtual.Fault{Kind: virtual.Lie}},
-	{"highLie", virtual.Fault{Kind: virtual.Lie, Factor: highLie}},
-	{"zoneCut", virtual.Fault{Kind: virtual.CutZone}},
-	{"hostLost", virtual.Fault{Kind: virtual.LoseHost}},
+	{"lowLie", virtual.Fault{Kind: virtual.MisreportLoad}},
+	{"highLie", virtual.Fault{Kind: virtual.MisreportLoad, Factor: highLie}},
+	{"zoneCut", virtual.Fault{Kind: virtual.PartitionZone}},
+	{"hostLost", virtual.Fault{Kind: virtual.CrashHost}},
 }
 
 func (c faultCase) scenario(policy string) virtual.Scenario {
 	s := withPolicy(virtual.Scenario{Load: faultLoad, Duration: faultDuration, Warmup: faultWarmup, Deadline: faultDeadline}, policy)
 	c.fault.At = faultAt
 	switch c.fault.Kind {
-	case virtual.LoseHost:
-	case virtual.CutZone:
+	case virtual.CrashHost:
+	case virtual.PartitionZone:
 		c.fault.Target = 1
 	default:
 		c.fault.Target = faultTarget
@@ -79,7 +79,7 @@
 	if policy != contract.PolicyAdaptive {
 		prefix = policy + "."
 	}
-	emit(figure.Plain(routeArea, prefix+c.name+"P99RatioToCalm", r.P(0.99)/calm.P(0.99), "ratio"))
+	emit(figure.Plain(routeArea, prefix+c.name+"P99RatioToCalm", r.Quantile(0.99)/calm.Quantile(0.99), "ratio"))
 	loss := float64(r.Failed) / float64(r.Offered)
 	lossBound, noticeBound := 0.0, 0.0
 	if policy == contract.PolicyAdaptive && c.fault.Kind == virtual.FailFast {
@@ -92,7 +92,7 @@
 	if policy == contract.PolicyAdaptive {
 		noticeBound = 100
 	}
-	emit(boundedTo(prefix+"slowInstanceNoticeMs", r.NoticeMs(faultTarget, faultAt), "ms", noticeBound))
+	emit(boundedTo(prefix+"slowInstanceNoticeMs", r.DetectionMs(faultTarget, faultAt), "ms", noticeBound))
 }
 
 // measureOverload offers twice the capacity.
@@ -108,7 +108,7 @@
 		}
 	}
 	burst := virtual.Scenario{Load: 0.7, Burst: 0.4, Duration: routeDuration}
-	central := t.add(burst, routeSeeds, virtual.Central)
+	central := t.add(burst, routeSeeds, virtual.RunCentralQueue)
 	bursts := t.add(withPolicy(burst, contract.PolicyAdaptive), routeSeeds, virtual.Run)
 	two := t.add(withPolicy(burst, contract.PolicyPowerOfTwo), routeSeeds, virtual.Run)
 	t.run()
--- a/bench/route_probe.go
+++ b/bench/route_probe.go
@@ -25,8 +25,8 @@
 		{"calm5", 0.05, 1, nil},
 		{"calm50", 0.5, 3, nil},
 		{"peak", 2, 1, nil},
-		{"zoneCut", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.CutZone, Target: 1}},
-		{"hostLost", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.LoseHost}},
+		{"zoneCut", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.PartitionZone, Target: 1}},
+		{"hostLost", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.CrashHost}},
 		{"allHosts", 0.05, 29, nil},
 	}
 	budgets := []float64{0, 0.001, 0.01}
@@ -51,7 +51,7 @@
 			r := runs[c.name][budget].result
 			suffix := fmt.Sprintf(".%s.budget%g", c.name, budget)
 			emit(figure.AtMost(routeArea, "probeCostShare"+suffix, r.ProbeShare(), "share", budget))
-			emit(figure.Plain(routeArea, "probeP99RatioToNone"+suffix, r.P(0.99)/none.P(0.99), "ratio"))
+			emit(figure.Plain(routeArea, "probeP99RatioToNone"+suffix, r.Quantile(0.99)/none.Quantile(0.99), "ratio"))
 		}
 	}
 	return nil
--- a/bench/scrape.go
+++ b/bench/scrape.go
@@ -36,7 +36,7 @@
 		start := time.Now()
 		exporter.Write(&out)
 		took := time.Since(start)
-		emit(figure.Plain("see", "scrapeBytes"+size.name, float64(out.Len()), "bytes").With(fmt.Sprintf("%d instances of %d services, all known to one host", size.instances, size.services)))
+		emit(figure.Plain("see", "scrapeBytes"+size.name, float64(out.Len()), "bytes").WithNote(fmt.Sprintf("%d instances of %d services, all known to one host", size.instances, size.services)))
 		emit(figure.Plain("see", "scrapeMs"+size.name, float64(took.Microseconds())/1000, "ms"))
 	}
 	return nil
--- a/bench/see.go
+++ b/bench/see.go
@@ -47,8 +47,8 @@
 // mixed has one request in fifty that takes forty times as long.
 func mixed(share float64) calmWorkload {
 	w := steady("mixedLong", share, instanceSlots)
-	w.cfg.Long, w.cfg.LongFactor = 0.02, 40
-	mean := 1 + w.cfg.Long*(w.cfg.LongFactor-1)
+	w.cfg.LongShare, w.cfg.LongFactor = 0.02, 40
+	mean := 1 + w.cfg.LongShare*(w.cfg.LongFactor-1)
 	w.cfg.MaxRate /= mean
 	rate := w.cfg.MaxRate
 	w.cfg.Rate = func(time.Duration) float64 { return rate }
@@ -79,12 +79,12 @@
 	alarms := 0
 	for n, w := range calmWorkloads() {
 		found := falseAlarms(w, uint64(n+1))
-		emit(figure.Plain("see", "backlogFalseAlarms_"+w.name, float64(found), "alarms").With("in " + w.span.String() + " of virtual time"))
+		emit(figure.Plain("see", "backlogFalseAlarms_"+w.name, float64(found), "alarms").WithNote("in " + w.span.String() + " of virtual time"))
 		alarms += found
 	}
 	emit(figure.AtMost("see", "backlogFalseAlarms", float64(alarms), "alarms", 0))
 	long := mixed(0.7)
-	emit(figure.Plain("see", "backlogAlarms_mixedLong", float64(falseAlarms(long, 7)), "alarms").With("in " + long.span.String() + " of virtual time; each is a wait of about a second behind slots full of long requests"))
+	emit(figure.Plain("see", "backlogAlarms_mixedLong", float64(falseAlarms(long, 7)), "alarms").WithNote("in " + long.span.String() + " of virtual time; each is a wait of about a second behind slots full of long requests"))
 	measureGrowths(emit)
 	return nil
 }
@@ -164,9 +164,9 @@
 			slow = append(slow, took)
 		}
 	}
-	emit(figure.AtMost("see", "backlogMissed", float64(missed), "growths", 0).With(fmt.Sprintf("%d generated growths, 2%% to 300%% over capacity", growthCases)))
-	emit(figure.AtMost("see", "backlogVisibleMs", worstMs(sudden), "ms", visibleBoundMs).With(fmt.Sprintf("slowest of %d growths of 50%% and more over capacity", len(sudden))))
-	emit(figure.Plain("see", "backlogVisibleSlowP50Ms", medianMs(slow), "ms").With(fmt.Sprintf("%d growths of 2%% to 50%% over capacity", len(slow))))
+	emit(figure.AtMost("see", "backlogMissed", float64(missed), "growths", 0).WithNote(fmt.Sprintf("%d generated growths, 2%% to 300%% over capacity", growthCases)))
+	emit(figure.AtMost("see", "backlogVisibleMs", worstMs(sudden), "ms", visibleBoundMs).WithNote(fmt.Sprintf("slowest of %d growths of 50%% and more over capacity", len(sudden))))
+	emit(figure.Plain("see", "backlogVisibleSlowP50Ms", medianMs(slow), "ms").WithNote(fmt.Sprintf("%d growths of 2%% to 50%% over capacity", len(slow))))
 	emit(figure.Plain("see", "backlogVisibleSlowMaxMs", worstMs(slow), "ms"))
 }
 
--- a/control/fleet/fleet.go
+++ b/control/fleet/fleet.go
@@ -20,8 +20,8 @@
 // SilentAfter is the time without a report after which a host is silent.
 const SilentAfter = 5 * time.Second
 
-// ForgetAfter is the time without a report after which a host is removed.
-const ForgetAfter = 10 * time.Minute
+// ReportTTL is the time without a report after which a host is removed.
+const ReportTTL = 10 * time.Minute
 
 // StateSilent is the state of a host that has not reported within SilentAfter.
 const StateSilent = "silent"
@@ -117,7 +117,7 @@
 	var all []*wire.HostReport
 	for name, report := range f.reports {
 		age := now.Sub(f.lastSeen[name])
-		if age > ForgetAfter {
+		if age > ReportTTL {
 			delete(f.reports, name)
 			delete(f.lastSeen, name)
 			continue
--- a/control/fleet/fleet_test.go
+++ b/control/fleet/fleet_test.go
@@ -40,7 +40,7 @@
 	silent := f.Hosts(start.Add(fleet.SilentAfter + 1))[0]
 	must.Eq(t, fleet.StateSilent, silent.GetState())
 	must.Eq(t, 7, silent.GetVersion())
-	must.SliceEmpty(t, f.Hosts(start.Add(fleet.ForgetAfter+1)))
+	must.SliceEmpty(t, f.Hosts(start.Add(fleet.ReportTTL+1)))
 }
 
 func TestAHostThatLeftIsForgottenAndItsLastReportIsReturnedAfterACrash(t *testing.T) {
