--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -29,11 +29,11 @@
 		w.run(convergenceTime)
 		must.NoError(t, w.converged())
 		w.loss = 0.1
-		w.heartbeats["i3"].message.Draining = true
+		w.announcers["i3"].message.Draining = true
 		took := w.timeUntil(10*time.Second, func(n *node) bool { return n.core.Instance("i3").GetDraining() })
 		must.LessEq(t, 2*time.Second, took)
-		b := w.heartbeats["i5"]
-		delete(w.heartbeats, "i5")
+		b := w.announcers["i5"]
+		delete(w.announcers, "i5")
 		out, err := w.byName[b.entry].core.Withdraw(w.clock(w.byName[b.entry]), "i5", 1)
 		must.NoError(t, err)
 		w.apply(w.byName[b.entry], out)
@@ -46,7 +46,7 @@
 	w := newNetwork(29, 2)
 	w.announce("i", "e03")
 	w.run(convergenceTime)
-	delete(w.heartbeats, "i")
+	delete(w.announcers, "i")
 	took := w.timeUntil(20*time.Second, func(n *node) bool { return !n.core.Usable("i") })
 	must.Between(t, gossip.LeaseTime-time.Second, took, gossip.LeaseTime+2*time.Second)
 }
@@ -71,7 +71,7 @@
 	w.announce("i", "e03")
 	w.run(convergenceTime)
 	w.byName["e03"].down = true
-	delete(w.heartbeats, "i")
+	delete(w.announcers, "i")
 	w.connects["i"] = false
 	took := w.timeUntil(60*time.Second, func(n *node) bool { return !n.core.Usable("i") })
 	must.LessEq(t, 20*time.Second, took)
@@ -88,7 +88,7 @@
 	for range 600 {
 		w.run(100 * time.Millisecond)
 		for _, n := range w.nodes {
-			for id := range w.heartbeats {
+			for id := range w.announcers {
 				must.True(t, n.core.Usable(id), must.Sprintf("%s lost %s at %s", n.name, id, w.now))
 			}
 		}
@@ -115,12 +115,12 @@
 	must.NoError(t, w.converged())
 }
 
-func TestOldIncarnationNeverComesBack(t *testing.T) {
+func TestOldIncarnationIsNeverRestored(t *testing.T) {
 	w := newNetwork(5, 7)
 	w.announce("i", "e01").message.Incarnation = 7
 	w.run(convergenceTime)
 	old := w.nodes[4].core.Instance("i")
-	w.heartbeats["i"].message.Incarnation = 8
+	w.announcers["i"].message.Incarnation = 8
 	w.run(2 * time.Second)
 	out := w.nodes[4].core.Merge(w.clock(w.nodes[4]), nil, []*wire.Instance{old})
 	must.SliceEmpty(t, out.Instances)
@@ -183,7 +183,7 @@
 	must.LessEq(t, 2*time.Second, took)
 }
 
-func TestHostReachedThroughOthersIsNotCalledDead(t *testing.T) {
+func TestHostReachedThroughOthersIsNotMarkedDead(t *testing.T) {
 	w := newNetwork(8, 11)
 	w.run(convergenceTime)
 	w.cut[link{"e01", "e02"}], w.cut[link{"e02", "e01"}] = true, true
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestPausedHostDoesNotCallTheOthersDead(t *testing.T) {
+func TestPausedHostDoesNotMarkTheOthersDead(t *testing.T) {
 	w := newNetwork(6, 12)
 	w.announce("i", "e02")
 	w.run(convergenceTime)
@@ -211,7 +211,7 @@
 	must.NoError(t, w.converged())
 }
 
-func TestBytesStayInsideTheBudgetWhateverTheInstances(t *testing.T) {
+func TestSentBytesStayWithinTheBudgetForManyInstances(t *testing.T) {
 	const rate = 3072
 	w := newNetwork(10, 13, gossip.WithRate(rate))
 	for n := range 400 {
@@ -220,7 +220,7 @@
 	start := w.now
 	for range 60 {
 		w.run(time.Second)
-		for _, b := range w.heartbeats {
+		for _, b := range w.announcers {
 			b.message.Cold = !b.message.Cold
 		}
 		for _, n := range w.nodes {
@@ -243,7 +243,7 @@
 	must.LessEq(t, 60*time.Second, w.timeUntil(2*time.Minute, func(n *node) bool { return len(n.core.Instances()) == 60 }))
 }
 
-func TestLeavingIsFinalThoughTheOtherHalfTookTheInstanceOver(t *testing.T) {
+func TestWithdrawalIsFinalThoughTheOtherHalfAdoptedTheInstance(t *testing.T) {
 	w := newNetwork(4, 15)
 	b := w.announce("i", "e01")
 	b.reaches = func(entry string) bool { return entry == "e01" }
@@ -251,7 +251,7 @@
 	w.partition(2)
 	w.run(20 * time.Second)
 	must.NotEq(t, "e01", w.nodes[3].core.Instance("i").GetHeardBy())
-	delete(w.heartbeats, "i")
+	delete(w.announcers, "i")
 	out, err := w.nodes[1].core.Withdraw(w.clock(w.nodes[1]), "i", 1)
 	must.NoError(t, err)
 	w.apply(w.nodes[1], out)
@@ -291,7 +291,7 @@
 	must.SliceEmpty(t, n.core.Receive(w.clock(n), ping).Sends)
 }
 
-func TestRecordsThatDifferInAnythingAreFound(t *testing.T) {
+func TestRecordsThatDifferInAnyFieldAreFound(t *testing.T) {
 	w := newNetwork(2, 18)
 	w.pulls = false
 	w.run(convergenceTime)
