--- a/bench/call.go
+++ b/bench/call.go
@@ -21,57 +21,58 @@
 
 // Size and bounds of the generated trials.
 const (
-	callTrials          = 640
-	callTrialsAtOnce    = 64
-	callSteps           = 40
-	callSeed            = 20261204
-	callCasesBound      = 10_000
-	callDeadline        = 200 * time.Millisecond
-	callSettle          = 800 * time.Millisecond
-	poisonHosts         = 29
-	poisonInstances     = 10
-	poisonResends       = 100
-	poisonLostBound     = 2
-	silentNoticeBoundMs = 2500 // 2 s without a sign of life, and the time to look
+	callTrials           = 640
+	callConcurrentTrials = 64
+	callSteps            = 40
+	callSeed             = 20261204
+	callCasesBound       = 10_000
+	callDeadline         = 200 * time.Millisecond
+	callSettle           = 800 * time.Millisecond
+	poisonHosts          = 29
+	poisonInstances      = 10
+	poisonResends        = 100
+	poisonLostBound      = 2
+	silentNoticeBoundMs  = 2500 // 2 s of silence, and the time until the next check
 )
 
-// measureTrials runs generated sequences of requests and faults.
+// measureTrials runs generated sequences of requests and faults, and counts the
+// requests that broke a guarantee to their callers.
 func measureTrials(emit func(figure.Figure)) error {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	total := call.Verdict{Outcomes: map[string]int{}}
-	atOnce := make(chan struct{}, callTrialsAtOnce)
+	total := call.Result{Outcomes: map[string]int{}}
+	slots := make(chan struct{}, callConcurrentTrials)
 	for n := range callTrials {
-		atOnce <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-atOnce }()
+			defer func() { <-slots }()
 			trial := call.NewTrial(call.Times{Deadline: callDeadline, Settle: callSettle})
-			verdict := trial.Run(script(rand.New(rand.NewPCG(callSeed, uint64(n)))))
+			result := trial.Run(script(rand.New(rand.NewPCG(callSeed, uint64(n)))))
 			mu.Lock()
 			defer mu.Unlock()
-			total.Add(verdict)
+			total.Add(result)
 		})
 	}
 	group.Wait()
-	for _, line := range total.Detail {
+	for _, line := range total.Violations {
 		fmt.Fprintln(os.Stderr, "call: "+line)
 	}
 	note := fmt.Sprintf("%d requests, told %v", total.Sent, total.Outcomes)
 	emit(figure.AtLeast("call", "generatedCases", float64(total.Sent), "requests", callCasesBound))
-	emit(figure.AtMost("call", "executedTwice", float64(total.ExecutedTwice), "keys", 0).With(note))
-	emit(figure.AtMost("call", "notRunButRan", float64(total.NotRunButRan), "requests", 0).With(note))
-	emit(figure.AtMost("call", "wrongAnswers", float64(total.WrongAnswers), "requests", 0).With(note))
+	emit(figure.AtMost("call", "executedTwice", float64(total.ExecutedTwice), "keys", 0).WithNote(note))
+	emit(figure.AtMost("call", "notRunButRan", float64(total.NotRunButRan), "requests", 0).WithNote(note))
+	emit(figure.AtMost("call", "wrongAnswers", float64(total.WrongAnswers), "requests", 0).WithNote(note))
 	return nil
 }
 
 func script(random *rand.Rand) []call.Step {
-	kinds := []call.StepKind{call.Send, call.Send, call.Send, call.Send, call.Break, call.Lose, call.Pause, call.Crash}
+	kinds := []call.StepKind{call.Send, call.Send, call.Send, call.Send, call.SetFault, call.SetLoss, call.Pause, call.Crash}
 	steps := make([]call.Step, callSteps)
 	for n := range steps {
 		steps[n] = call.Step{
 			Kind: kinds[random.IntN(len(kinds))], Host: random.IntN(call.Hosts), Target: random.IntN(call.Instances),
-			Key: random.IntN(4), Body: random.IntN(8) / 7, Fault: call.Fault(random.IntN(int(call.Gone) + 1)),
-			Loss: call.Loss(random.IntN(int(call.LoseAnswers) + 1)),
+			Key: random.IntN(4), Body: random.IntN(8) / 7, Fault: call.Fault(random.IntN(int(call.Down) + 1)),
+			Loss: call.Loss(random.IntN(int(call.DropResponses) + 1)),
 		}
 	}
 	return steps
@@ -82,8 +83,8 @@
 	if err != nil {
 		return err
 	}
-	note := fmt.Sprintf("resent %d times over %d hosts; %d of %d innocent requests had no answer", poisonResends, poisonHosts, result.Innocent, result.Others)
-	emit(figure.AtMost("call", "poisonInstancesLost", float64(result.Lost), "instances", poisonLostBound).With(note))
+	note := fmt.Sprintf("resent %d times over %d hosts; %d of %d innocent requests had no answer", poisonResends, poisonHosts, result.HealthyFailed, result.HealthySent)
+	emit(figure.AtMost("call", "poisonInstancesLost", float64(result.InstancesLost), "instances", poisonLostBound).WithNote(note))
 	return nil
 }
 
@@ -100,7 +101,7 @@
 		return errors.Errorf("silent links: %v, %v", waitErr, uploadErr)
 	}
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	emit(figure.AtMost("call", "silentLinkNoticeMs", ms(waiting), "ms", silentNoticeBoundMs).With("while an answer is awaited"))
-	emit(figure.AtMost("call", "silentLinkNoticeUploadMs", ms(uploading), "ms", silentNoticeBoundMs).With("during an upload"))
+	emit(figure.AtMost("call", "silentLinkNoticeMs", ms(waiting), "ms", silentNoticeBoundMs).WithNote("while an answer is awaited"))
+	emit(figure.AtMost("call", "silentLinkNoticeUploadMs", ms(uploading), "ms", silentNoticeBoundMs).WithNote("during an upload"))
 	return nil
 }
--- a/bench/call/poison.go
+++ b/bench/call/poison.go
@@ -16,19 +16,20 @@
 
 const poisonBody = "poison"
 
-// fragile is an instance that one body kills for good.
-type fragile struct {
+// fragileInstance is an instance that one request body crashes permanently.
+type fragileInstance struct {
 	mu       sync.Mutex
 	listener *listener
-	lost     bool
+	crashed  bool
 }
 
-// ServeHTTP answers, or dies with all its links.
-func (f *fragile) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP echoes the body, or closes the listener and all connections on the
+// poison body.
+func (f *fragileInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err == nil && string(data) == poisonBody {
 		f.mu.Lock()
-		f.lost = true
+		f.crashed = true
 		f.mu.Unlock()
 		f.listener.kill()
 		panic(http.ErrAbortHandler)
@@ -36,37 +37,37 @@
 	_, _ = w.Write(data)
 }
 
-// PoisonResult is what resending a poison request cost.
+// PoisonResult is the effect of resending a poison request.
 type PoisonResult struct {
-	Lost     int // instances
-	Innocent int // requests of others that had no answer, of Others
-	Others   int
+	InstancesLost int // by the poison request
+	HealthyFailed int // healthy requests without status 200, of HealthySent
+	HealthySent   int
 }
 
-// Poison sends a request that kills each instance that runs it through entry
-// hosts in turn, with innocent requests beside it.
+// Poison resends a request that crashes each instance that runs it, each time
+// through the next entry host, and sends a healthy request after each.
 func Poison(hosts, instances, resends int) (PoisonResult, error) {
 	t := &Trial{times: Times{Deadline: time.Second}, net: newNetwork(), group: newGroup(), instanceCount: instances}
 	t.transport = &http.Transport{DialContext: t.dial}
 	t.client = &http.Client{Transport: t.transport}
-	var all []*fragile
+	var all []*fragileInstance
 	for n := range instances {
-		f := &fragile{listener: t.net.listen(fmt.Sprintf("i%d:1", n))}
+		f := &fragileInstance{listener: t.net.listen(fmt.Sprintf("i%d:1", n))}
 		all = append(all, f)
 		go func() { _ = (&http.Server{Handler: f, ReadHeaderTimeout: time.Minute}).Serve(f.listener) }()
 	}
-	books := make([]*poison.Tracker, hosts)
+	trackers := make([]*poison.Tracker, hosts)
 	for n := range hosts {
-		books[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
-			for other := range books {
+		trackers[n] = poison.NewTracker(poison.WithBroadcast(func(_ context.Context, suspects []*wire.Suspect) {
+			for other := range trackers {
 				if other != n {
-					books[other].Merge(suspects, time.Now())
+					trackers[other].Merge(suspects, time.Now())
 				}
 			}
 		}))
 	}
 	for n := range hosts {
-		t.hosts = append(t.hosts, t.start(n, books[n]))
+		t.hosts = append(t.hosts, t.startHost(n, trackers[n]))
 	}
 	defer t.close()
 	var result PoisonResult
@@ -78,15 +79,15 @@
 		if err != nil {
 			return result, err
 		}
-		result.Others++
+		result.HealthySent++
 		if status != http.StatusOK {
-			result.Innocent++
+			result.HealthyFailed++
 		}
 	}
 	for _, f := range all {
 		f.mu.Lock()
-		if f.lost {
-			result.Lost++
+		if f.crashed {
+			result.InstancesLost++
 		}
 		f.mu.Unlock()
 	}
--- a/bench/controlkill.go
+++ b/bench/controlkill.go
@@ -16,37 +16,37 @@
 
 func init() { register("control", measureLeaderLoss) }
 
-// Bounds and size of the trials of a lost leader.
+// Size, timing and bound of the trials that stop the leader.
 const (
-	pauseBoundMs = 1000
-	killTrials   = 5
-	killClients  = 12
-	beforeKill   = 500 * time.Millisecond
-	afterKill    = 2 * time.Second
-	killCall     = 400 * time.Millisecond // a client's limit before it asks another host
+	pauseBoundMs     = 1000
+	killTrials       = 5
+	killClients      = 12
+	beforeKill       = 500 * time.Millisecond
+	afterKill        = 2 * time.Second
+	killClaimTimeout = 400 * time.Millisecond // before a client tries the next host
 )
 
-// witness is a client that remembers what it was told.
-type witness struct {
-	mu      sync.Mutex
-	granted []*wire.ClaimRequest
-	answers []time.Time
+// claimRecorder records the claims that clients were granted, and when.
+type claimRecorder struct {
+	mu            sync.Mutex
+	granted       []*wire.ClaimRequest
+	responseTimes []time.Time
 }
 
-func (w *witness) add(req *wire.ClaimRequest) {
+func (w *claimRecorder) add(req *wire.ClaimRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.granted = append(w.granted, req)
-	w.answers = append(w.answers, time.Now())
+	w.responseTimes = append(w.responseTimes, time.Now())
 }
 
-// longestPause returns the longest time without an answer after a moment.
-func (w *witness) longestPause(after time.Time) time.Duration {
+// longestPause returns the longest time without a response after a moment.
+func (w *claimRecorder) longestPause(after time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	slices.SortFunc(w.answers, time.Time.Compare)
+	slices.SortFunc(w.responseTimes, time.Time.Compare)
 	last, longest := after, time.Duration(0)
-	for _, at := range w.answers {
+	for _, at := range w.responseTimes {
 		if at.Before(after) {
 			continue
 		}
@@ -56,14 +56,14 @@
 	return longest
 }
 
-// claimOn claims new keys until told to stop; a request without an answer is
-// sent again to the next host with the same claim id, as entry hosts do.
-func (w *witness) claimOn(g *controlGroup, first int, stop *atomic.Bool) {
+// claimUntil claims new keys until stop is set. A request without a response
+// is sent again to the next host with the same claim id, as entry hosts do.
+func (w *claimRecorder) claimUntil(g *controlGroup, first int, stop *atomic.Bool) {
 	at := first
 	for !stop.Load() {
 		req := newClaim()
 		for !stop.Load() {
-			ctx, cancel := context.WithTimeout(context.Background(), killCall)
+			ctx, cancel := context.WithTimeout(context.Background(), killClaimTimeout)
 			response, err := g.claims(at%len(g.cluster.Controls)).Claim(ctx, req)
 			cancel()
 			if err == nil && response.GetState() == wire.ClaimState_CLAIM_GRANTED {
@@ -75,9 +75,9 @@
 	}
 }
 
-// loseLeader loads the group, ends its leader with a signal, and returns the
-// longest pause of the answers.
-func loseLeader(g *controlGroup, w *witness, signal syscall.Signal) (time.Duration, error) {
+// stopLeader signals the leader to end while the group is under load, and
+// returns the longest pause between responses.
+func stopLeader(g *controlGroup, w *claimRecorder, signal syscall.Signal) (time.Duration, error) {
 	leader, err := g.leader()
 	if err != nil {
 		return 0, err
@@ -85,10 +85,10 @@
 	var stop atomic.Bool
 	var group sync.WaitGroup
 	for n := range killClients {
-		group.Go(func() { w.claimOn(g, n, &stop) })
+		group.Go(func() { w.claimUntil(g, n, &stop) })
 	}
 	time.Sleep(beforeKill)
-	lost := time.Now()
+	signalled := time.Now()
 	err = g.cluster.Controls[leader].Signal(signal)
 	time.Sleep(afterKill)
 	stop.Store(true)
@@ -97,40 +97,40 @@
 		return 0, errors.Wrap(err, "signal the leader")
 	}
 	_ = g.cluster.Controls[leader].Wait(groupReadyLimit)
-	pause := w.longestPause(lost)
+	pause := w.longestPause(signalled)
 	if err := g.restart(leader); err != nil {
 		return 0, err
 	}
 	return pause, g.awaitQuorum()
 }
 
-// measureLeaderLoss ends the leader again and again under load, and then asks
-// for every claim that was granted and every change that was accepted.
+// measureLeaderLoss repeatedly ends the leader under load, and then checks that
+// every granted claim and every accepted change is still there.
 func measureLeaderLoss(emit func(figure.Figure)) error {
 	g, err := newControlGroup(3)
 	if err != nil {
 		return err
 	}
 	defer g.close()
-	w := &witness{}
+	w := &claimRecorder{}
 	var pauses []time.Duration
 	for n := range killTrials {
 		if err := submitNext(g, uint64(n)); err != nil {
 			return err
 		}
-		pause, err := loseLeader(g, w, syscall.SIGKILL)
+		pause, err := stopLeader(g, w, syscall.SIGKILL)
 		if err != nil {
 			return err
 		}
 		pauses = append(pauses, pause)
 	}
-	stopped, err := loseLeader(g, w, syscall.SIGTERM)
+	stopped, err := stopLeader(g, w, syscall.SIGTERM)
 	if err != nil {
 		return err
 	}
 	emit(figure.AtMost("control", "leaderLossPauseMs", ms(slices.Max(pauses)), "ms", pauseBoundMs).
-		With(fmt.Sprintf("longest of %d SIGKILLs of the leader under load: %v", killTrials, pauses)))
-	emit(figure.Plain("control", "leaderStopPauseMs", ms(stopped), "ms").With("graceful stop of the leader under load"))
+		WithNote(fmt.Sprintf("longest of %d SIGKILLs of the leader under load: %v", killTrials, pauses)))
+	emit(figure.Plain("control", "leaderStopPauseMs", ms(stopped), "ms").WithNote("graceful stop of the leader under load"))
 	return emitLosses(emit, g, w)
 }
 
@@ -148,7 +148,7 @@
 	return errors.Wrap(err, "submit")
 }
 
-func emitLosses(emit func(figure.Figure), g *controlGroup, w *witness) error {
+func emitLosses(emit func(figure.Figure), g *controlGroup, w *claimRecorder) error {
 	lostClaims := 0
 	for _, req := range w.granted {
 		if err := claimOnce(g.claims(0), req); err != nil {
@@ -161,7 +161,7 @@
 	}
 	lostChanges := killTrials - len(history.GetVersions())
 	emit(figure.AtMost("control", "lostClaimsAfterKills", float64(lostClaims), "claims", 0).
-		With(fmt.Sprintf("of %d granted before, between and after %d kills", len(w.granted), killTrials)))
+		WithNote(fmt.Sprintf("of %d granted before, between and after %d kills", len(w.granted), killTrials)))
 	emit(figure.AtMost("control", "lostChangesAfterKills", float64(lostChanges), "changes", 0))
 	return nil
 }
--- a/bench/decision.go
+++ b/bench/decision.go
@@ -14,9 +14,9 @@
 func init() { register("see", measureDecisionLog) }
 
 const (
-	decisionLines = 200_000
-	decisionRate  = 20_000 // lines a second
-	usualCount    = 10     // candidates of a decision
+	decisionLines     = 200_000
+	decisionRate      = 20_000 // lines per second
+	typicalCandidates = 10     // of a decision
 )
 
 func decisionOf(candidates int) *decision.Decision {
@@ -31,8 +31,8 @@
 	return d
 }
 
-// measureDecisionLog writes lines at a rate and measures the time that each
-// takes on the writer's side, and how many were dropped.
+// measureDecisionLog writes lines at a fixed rate, and measures the time that
+// one takes the writer and the number of dropped lines.
 func measureDecisionLog(emit func(figure.Figure)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := decision.NewLog(logging.New("bench", "info", io.Discard))
@@ -43,7 +43,7 @@
 	}()
 	prepared := make([]*decision.Decision, decisionLines)
 	for n := range prepared {
-		prepared[n] = decisionOf(usualCount)
+		prepared[n] = decisionOf(typicalCandidates)
 	}
 	var spent time.Duration
 	start := time.Now()
@@ -57,7 +57,7 @@
 	}
 	cancel()
 	<-done
-	emit(figure.Plain("see", "decisionLogNs", float64(spent.Nanoseconds())/decisionLines, "ns").With("a line, on the request's path"))
-	emit(figure.Plain("see", "decisionLinesDropped", float64(log.Dropped()), "lines").With(fmt.Sprintf("of %d at %d a second, %d candidates each", decisionLines, decisionRate, usualCount)))
+	emit(figure.Plain("see", "decisionLogNs", float64(spent.Nanoseconds())/decisionLines, "ns").WithNote("a line, on the request's path"))
+	emit(figure.Plain("see", "decisionLinesDropped", float64(log.Dropped()), "lines").WithNote(fmt.Sprintf("of %d at %d a second, %d candidates each", decisionLines, decisionRate, typicalCandidates)))
 	return nil
 }
--- a/bench/route_probe.go
+++ b/bench/route_probe.go
@@ -8,12 +8,12 @@
 	"github.com/snipebeam/snipebeam/bench/route/virtual"
 )
 
-// probeDuration is a whole window of the budget, so that the share of a run is
-// the share of a window.
+// probeDuration covers a full window of the probe budget, so that the share of a
+// run is that of a window.
 const probeDuration = 61 * time.Second
 
-// measureProbes measures what probes cost and what tail they save, on the
-// zones of Attica, where a probe takes 6 ms.
+// measureProbes measures the cost of probes and their effect on tail latency in
+// the attica deployment, where a probe takes 6 ms.
 func measureProbes(emit func(figure.Figure)) error {
 	attica := deployments[1]
 	cases := []struct {
@@ -25,8 +25,8 @@
 		{"calm5", 0.05, 1, nil},
 		{"calm50", 0.5, 3, nil},
 		{"peak", 2, 1, nil},
-		{"zoneCut", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.CutZone, Target: 1}},
-		{"hostLost", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.LoseHost}},
+		{"zoneCut", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.PartitionZone, Target: 1}},
+		{"hostLost", 0.5, 3, &virtual.Fault{At: faultAt, Kind: virtual.CrashHost}},
 		{"allHosts", 0.05, 29, nil},
 	}
 	budgets := []float64{0, 0.001, 0.01}
@@ -51,7 +51,7 @@
 			r := runs[c.name][budget].result
 			suffix := fmt.Sprintf(".%s.budget%g", c.name, budget)
 			emit(figure.AtMost(routeArea, "probeCostShare"+suffix, r.ProbeShare(), "share", budget))
-			emit(figure.Plain(routeArea, "probeP99RatioToNone"+suffix, r.P(0.99)/none.P(0.99), "ratio"))
+			emit(figure.Plain(routeArea, "probeP99RatioToNone"+suffix, r.Quantile(0.99)/none.Quantile(0.99), "ratio"))
 		}
 	}
 	return nil
--- a/bench/see.go
+++ b/bench/see.go
@@ -18,7 +18,7 @@
 const (
 	visibleBoundMs = 2000
 	growthCases    = 1000
-	calmSpan       = 4 * time.Hour // behind one instance; less behind many
+	calmSpan       = 4 * time.Hour // for one instance; shorter for more slots
 )
 
 const (
@@ -26,10 +26,10 @@
 	serviceSlots  = 30
 	instanceMean  = 5 * time.Millisecond
 	sigma         = 0.8
-	fullRate      = instanceSlots * float64(time.Second/instanceMean) // requests a second that fill the slots
+	fullRate      = instanceSlots * float64(time.Second/instanceMean) // requests per second that fill the slots
 )
 
-// calmWorkload is one in which no backlog grows.
+// calmWorkload is a workload in which no backlog grows.
 type calmWorkload struct {
 	name string
 	cfg  queue.Config
@@ -44,18 +44,20 @@
 	}}
 }
 
-// mixed has one request in fifty that takes forty times as long.
+// mixed returns a workload in which one request in fifty takes forty times as
+// long.
 func mixed(share float64) calmWorkload {
 	w := steady("mixedLong", share, instanceSlots)
-	w.cfg.Long, w.cfg.LongFactor = 0.02, 40
-	mean := 1 + w.cfg.Long*(w.cfg.LongFactor-1)
+	w.cfg.LongShare, w.cfg.LongFactor = 0.02, 40
+	mean := 1 + w.cfg.LongShare*(w.cfg.LongFactor-1)
 	w.cfg.MaxRate /= mean
 	rate := w.cfg.MaxRate
 	w.cfg.Rate = func(time.Duration) float64 { return rate }
 	return w
 }
 
-// bursts of one second at one and a half times the capacity, every ten seconds.
+// bursty returns a workload with bursts of one second at one and a half times the
+// capacity, every ten seconds.
 func bursty() calmWorkload {
 	const burst, period = time.Second, 10 * time.Second
 	w := steady("bursty", 1.5, instanceSlots)
@@ -79,12 +81,12 @@
 	alarms := 0
 	for n, w := range calmWorkloads() {
 		found := falseAlarms(w, uint64(n+1))
-		emit(figure.Plain("see", "backlogFalseAlarms_"+w.name, float64(found), "alarms").With("in " + w.span.String() + " of virtual time"))
+		emit(figure.Plain("see", "backlogFalseAlarms_"+w.name, float64(found), "alarms").WithNote("in " + w.span.String() + " of virtual time"))
 		alarms += found
 	}
 	emit(figure.AtMost("see", "backlogFalseAlarms", float64(alarms), "alarms", 0))
 	long := mixed(0.7)
-	emit(figure.Plain("see", "backlogAlarms_mixedLong", float64(falseAlarms(long, 7)), "alarms").With("in " + long.span.String() + " of virtual time; each is a wait of about a second behind slots full of long requests"))
+	emit(figure.Plain("see", "backlogAlarms_mixedLong", float64(falseAlarms(long, 7)), "alarms").WithNote("in " + long.span.String() + " of virtual time; each is a wait of about a second behind slots full of long requests"))
 	measureGrowths(emit)
 	return nil
 }
@@ -92,19 +94,19 @@
 func falseAlarms(w calmWorkload, seed uint64) int {
 	q := queue.New(w.cfg, seed)
 	detector := backlog.Detector{}
-	found, was := 0, backlog.Cause("")
+	alarms, previous := 0, backlog.Cause("")
 	for q.Now() < w.span {
 		cause, _ := detector.Observe(q.Sample(backlog.SampleInterval), backlog.Limits{Slots: w.cfg.Slots})
-		if cause != "" && was == "" {
-			found++
+		if cause != "" && previous == "" {
+			alarms++
 		}
-		was = cause
+		previous = cause
 	}
-	return found
+	return alarms
 }
 
-// growth is one generated backlog: from a moment on, the instance serves less
-// than what arrives.
+// growth is a generated backlog: after the warm-up, the instance serves fewer
+// requests than arrive.
 type growth struct {
 	share  float64 // of the capacity that arrives
 	excess float64 // arrivals over capacity after the change, 0.5 is 50% more
@@ -116,7 +118,7 @@
 	suddenExcess = 0.5
 )
 
-// generate draws growths from very slow to sudden.
+// generate draws a growth between very slow and sudden.
 func generate(random *rand.Rand) growth {
 	return growth{
 		share:  0.3 + 0.5*random.Float64(),
@@ -164,9 +166,9 @@
 			slow = append(slow, took)
 		}
 	}
-	emit(figure.AtMost("see", "backlogMissed", float64(missed), "growths", 0).With(fmt.Sprintf("%d generated growths, 2%% to 300%% over capacity", growthCases)))
-	emit(figure.AtMost("see", "backlogVisibleMs", worstMs(sudden), "ms", visibleBoundMs).With(fmt.Sprintf("slowest of %d growths of 50%% and more over capacity", len(sudden))))
-	emit(figure.Plain("see", "backlogVisibleSlowP50Ms", medianMs(slow), "ms").With(fmt.Sprintf("%d growths of 2%% to 50%% over capacity", len(slow))))
+	emit(figure.AtMost("see", "backlogMissed", float64(missed), "growths", 0).WithNote(fmt.Sprintf("%d generated growths, 2%% to 300%% over capacity", growthCases)))
+	emit(figure.AtMost("see", "backlogVisibleMs", worstMs(sudden), "ms", visibleBoundMs).WithNote(fmt.Sprintf("slowest of %d growths of 50%% and more over capacity", len(sudden))))
+	emit(figure.Plain("see", "backlogVisibleSlowP50Ms", medianMs(slow), "ms").WithNote(fmt.Sprintf("%d growths of 2%% to 50%% over capacity", len(slow))))
 	emit(figure.Plain("see", "backlogVisibleSlowMaxMs", worstMs(slow), "ms"))
 }
 
--- a/entry/caller/once_test.go
+++ b/entry/caller/once_test.go
@@ -47,12 +47,12 @@
 	_, _ = w.Write([]byte("paid " + string(data)))
 }
 
-func TestResendGetsTheStoredAnswerFromAnyHost(t *testing.T) {
+func TestResendGetsTheStoredResponseFromAnyHost(t *testing.T) {
 	instance, claims := &counter{}, newClaims()
 	views := viewsOf(httpInstance(t, instance.ServeHTTP))
 	a, b := newEntry(t, views, claims), newEntry(t, views, claims)
 	first := call(t, http.MethodPost, serveEntry(t, a), "/pay/1", "5", keyHeader, "k", "Snipebeam-Caller", "c")
-	settle(t, a)
+	waitSettled(t, a)
 	second := call(t, http.MethodPost, serveEntry(t, b), "/pay/1", "5", keyHeader, "k", "Snipebeam-Caller", "c")
 	must.Eq(t, "paid 5", first.body)
 	must.Eq(t, first.body, second.body)
@@ -136,13 +136,13 @@
 	e := newEntry(t, viewsOf(closing), newClaims())
 	entry := serveEntry(t, e)
 	must.Eq(t, outcome.Unknown, call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k").outcome())
-	settle(t, e)
+	waitSettled(t, e)
 	again := call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k")
 	must.Eq(t, outcome.Unknown, again.outcome())
 	must.Eq(t, outcome.ClaimHeld, again.reason())
 }
 
-func TestCutAnswerOfAtMostOnceIsUnknownToTheResend(t *testing.T) {
+func TestTruncatedResponseOfAtMostOnceIsUnknownToTheResend(t *testing.T) {
 	cutting := rawInstance(t, func(conn net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, _ = io.WriteString(conn, "HTTP/1.1 201 Created\r\nContent-Length: 100\r\n\r\nhalf")
@@ -151,13 +151,13 @@
 	entry := serveEntry(t, e)
 	_, err := do(newRequest(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k"))
 	must.Error(t, err)
-	settle(t, e)
+	waitSettled(t, e)
 	again := call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k")
 	must.Eq(t, outcome.Unknown, again.outcome())
 	must.Eq(t, outcome.AnswerLost, again.reason())
 }
 
-func TestAnswerIsKeptForACallerThatLeft(t *testing.T) {
+func TestResponseIsStoredForACallerThatDisconnected(t *testing.T) {
 	started, proceed := make(chan struct{}), make(chan struct{})
 	instance := &counter{}
 	address := httpInstance(t, func(w http.ResponseWriter, r *http.Request) {
@@ -179,7 +179,7 @@
 	must.Eq(t, 1, instance.of("k"))
 }
 
-func TestLargeAnswerIsNotStoredAndNotRunAgain(t *testing.T) {
+func TestLargeResponseIsNotStoredAndNotRunAgain(t *testing.T) {
 	var runs atomic.Int32
 	large := strings.Repeat("a", 200_000)
 	address := httpInstance(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -189,7 +189,7 @@
 	e := newEntry(t, viewsOf(address), newClaims())
 	entry := serveEntry(t, e)
 	must.Eq(t, large, call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k").body)
-	settle(t, e)
+	waitSettled(t, e)
 	must.Eq(t, outcome.AnswerTooLarge, call(t, http.MethodPost, entry, "/pay/1", "5", keyHeader, "k").reason())
 	must.Eq(t, 1, runs.Load())
 }
