--- a/entry/poison/tracker.go
+++ b/entry/poison/tracker.go
@@ -10,7 +10,7 @@
 //
 // Usage:
 //
-//	tracker := poison.NewTracker(poison.WithBroadcast(node.ShareSuspects))
+//	tracker := poison.NewTracker(poison.WithBroadcast(node.BroadcastSuspects))
 //	if until, refused := tracker.Refused(fp, now); refused { ... }
 //	attempt := tracker.Begin(ctx, fp, instanceID)
 //	defer attempt.End()
